--- a/bench/placement.py
+++ b/bench/placement.py
@@ -140,9 +140,9 @@
             reported_streams=0,
             own_at_report=0,
             max_streams=64,
-            reading_tokens=reading[n],
+            prefill_tokens=reading[n],
             running_streams=running[n],
-            held_tokens=held[n],
+            kv_tokens=held[n],
             capacity_tokens=55_000,
         )
         for n in range(fleet.endpoints)
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -383,7 +383,7 @@
                 live = fleet.find(self._rng.choice(list(bench.engines)))
                 report = await live.engine.probe()
                 if report is not None:
-                    live.take_report(report)
+                    live.update_report(report)
 
     def choose(
         self, query: RouteQuery, endpoints: Sequence[EndpointView], *, now: timedelta
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -56,9 +56,9 @@
 TROUBLED = VersionBehaviour(failing=0.5)
 
 
-def make_ratio_test(usual: float, tolerated: float, error: float) -> RateTest:
+def make_ratio_test(baseline: float, tolerated: float, error: float) -> RateTest:
     """Return Wald's test in place of the one that is used."""
-    return RatioTest(usual=usual, high=tolerated, error=error)
+    return RatioTest(baseline=baseline, high=tolerated, error=error)
 
 
 def list_kinds() -> dict[str, RolloutPlay]:
--- a/passtally/adapter.py
+++ b/passtally/adapter.py
@@ -5,7 +5,7 @@
 
 from passtally.clock import Clock
 from passtally.connection_pool import ConnectionPool
-from passtally.endpoint_words import AnswerNotes
+from passtally.endpoint_directives import DirectiveRecorder
 from passtally.engine import Engine
 from passtally.fetch import Fetcher
 from passtally.front import Front
@@ -70,7 +70,7 @@
         *,
         pool: ConnectionPool,
         clock: Clock,
-        notes: AnswerNotes,
+        recorder: DirectiveRecorder,
         find_address: Callable[[str], Address | None],
     ) -> Engine:
         """Return the client of an endpoint's engine."""
@@ -79,7 +79,7 @@
         """Return whether a model engine answers there."""
 
     def make_sender(
-        self, *, pool: ConnectionPool, clock: Clock, notes: AnswerNotes
+        self, *, pool: ConnectionPool, clock: Clock, recorder: DirectiveRecorder
     ) -> Sender:
         """Return what sends plain calls."""
 
--- a/passtally/admission.py
+++ b/passtally/admission.py
@@ -151,7 +151,7 @@
                 lambda item: self._fits(item.request, load, now)
             )
             if waiting is not None:
-                self._note_pop(now)
+                self._record_pop(now)
                 self._enter(waiting.request)
                 return waiting
         return None
@@ -209,7 +209,7 @@
         allowed = running * request.share / total_share
         return self._running_by_workspace.get(request.workspace, 0) < allowed
 
-    def _note_pop(self, now: timedelta) -> None:
+    def _record_pop(self, now: timedelta) -> None:
         if self._last_pop is not None:
             gap = (now - self._last_pop).total_seconds()
             known = gap if self._mean_interval is None else self._mean_interval
--- a/passtally/once.py
+++ b/passtally/at_most_once.py
@@ -31,7 +31,7 @@
     answer: PlainAnswer
 
 
-class OnceCaller:
+class AtMostOnceCaller:
     """Claims a call's key before it is sent.
 
     Args:
--- a/passtally/completion.py
+++ b/passtally/completion.py
@@ -138,7 +138,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Shape:
+class AnswerFormat:
     """Writes events and answers in one flavour of the API.
 
     Attributes:
@@ -169,7 +169,7 @@
             event["usage"] = _usage(generation)
         return msgspec.json.encode(event)
 
-    def whole_answer(self, generation: Generation, text: str) -> bytes:
+    def render_answer(self, generation: Generation, text: str) -> bytes:
         """Return the body of an answer that is not streamed."""
         message: dict[str, Any] = {"text": text}
         if self.flavour is Flavour.CHAT:
@@ -206,7 +206,7 @@
     def __init__(
         self,
         *,
-        shape: Shape,
+        shape: AnswerFormat,
         signer: HandleSigner,
         binding: bytes,
         copy: CopiedStream | None = None,
--- a/passtally/completion_handler.py
+++ b/passtally/completion_handler.py
@@ -10,10 +10,10 @@
 from passtally.api import JSON_TYPE, find_service, find_workspace, read_admission
 from passtally.catalog import Catalog
 from passtally.completion import (
+    AnswerFormat,
     CompletionBody,
     EventWriter,
     Flavour,
-    Shape,
     build_request,
     new_generation_id,
     parse_body,
@@ -124,7 +124,9 @@
         sink = JobSink()
         async with self._gate.enter(service.id, admission):
             await self._dispatcher.run(generation, sink)
-        return Shape(flavour=flavour).whole_answer(generation, "".join(sink.texts))
+        return AnswerFormat(flavour=flavour).render_answer(
+            generation, "".join(sink.texts)
+        )
 
     async def text(self, request: web.Request) -> web.StreamResponse:
         """Serve ``POST /v1/completions``."""
@@ -141,7 +143,7 @@
             return await self._submit(workspace, flavour, raw)
         binding = bind(workspace.id, raw)
         point = self._open_handle(request, binding)
-        shape = Shape(
+        shape = AnswerFormat(
             flavour=flavour,
             include_usage=bool(
                 body.stream_options and body.stream_options.include_usage
@@ -217,10 +219,10 @@
         return sink.response or web.Response()
 
     async def _answer_whole(self, request: web.Request, work: "_Work") -> web.Response:
-        sink = WholeSink(request=request)
+        sink = BufferedSink(request=request)
         await self._dispatch(work, sink)
         return web.Response(
-            body=work.shape.whole_answer(work.generation, "".join(sink.texts)),
+            body=work.shape.render_answer(work.generation, "".join(sink.texts)),
             content_type=JSON_TYPE,
             headers={GENERATION_HEADER: work.generation.request.id},
         )
@@ -251,7 +253,7 @@
 
     generation: Generation
     admission: AdmissionRequest
-    shape: Shape
+    shape: AnswerFormat
     service: Service
     binding: bytes
     point: ResumePoint | None
@@ -301,7 +303,7 @@
         return response
 
 
-class WholeSink:
+class BufferedSink:
     """Gathers an answer that is sent in one piece.
 
     Args:
--- a/passtally/connection_pool.py
+++ b/passtally/connection_pool.py
@@ -14,7 +14,6 @@
 import attrs
 
 from passtally.clock import Clock
-from passtally.fair_timeout import FairTimeout
 from passtally.fetch import Fetched, FetchError
 from passtally.http_client import (
     ClientConnection,
@@ -23,6 +22,7 @@
     ResponseHead,
 )
 from passtally.http_server import RawHeaders
+from passtally.pause_aware_timeout import PauseAwareTimeout
 from passtally.settings import Address, parse_address
 
 #: How long a connection may take to come up. Endpoints are a millisecond away; a
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class WholeAnswer:
+class BufferedAnswer:
     """An answer that was read to its end."""
 
     head: ResponseHead
@@ -69,7 +69,7 @@
             ExchangeError: None came up.
         """
         if must_be_new:
-            self.distrust(address)
+            self.invalidate(address)
         idle = self._idle_by_address.get(address, [])
         while idle:
             connection = idle.pop()
@@ -89,7 +89,7 @@
         self.opened += 1
         connecting = asyncio.ensure_future(self._connect(address))
         try:
-            async with FairTimeout(timeout, clock=self._clock):
+            async with PauseAwareTimeout(timeout, clock=self._clock):
                 return await connecting
         except BaseException as error:
             connecting.cancel()
@@ -118,7 +118,7 @@
         timeout: timedelta,
         part_timeout: timedelta | None = None,
         on_head: Callable[[ResponseHead], None] = lambda head: None,
-    ) -> "WholeAnswer":
+    ) -> "BufferedAnswer":
         """Send a request and read its whole answer.
 
         Args:
@@ -138,7 +138,7 @@
             TimeoutError: None came in time.
         """
         try:
-            async with FairTimeout(timeout, clock=self._clock) as limit:
+            async with PauseAwareTimeout(timeout, clock=self._clock) as limit:
                 extend = partial(limit.extend, part_timeout or timedelta(0))
                 connection = await self.take(address)
                 try:
@@ -150,12 +150,12 @@
                     connection.abort()
                     raise
         except TimeoutError:
-            self.distrust(address)
+            self.invalidate(address)
             raise
-        self.give_back(address, connection, head)
-        return WholeAnswer(head=head, body=answer)
+        self.release(address, connection, head)
+        return BufferedAnswer(head=head, body=answer)
 
-    def give_back(
+    def release(
         self, address: Address, connection: ClientConnection, head: ResponseHead
     ) -> None:
         """Keep a connection whose answer was read whole, if it may be used again."""
@@ -163,12 +163,12 @@
             self._drop_unusable()
             self._idle_by_address.setdefault(address, []).append(connection)
 
-    def distrust(self, address: Address) -> None:
+    def invalidate(self, address: Address) -> None:
         """Close the idle connections to a peer that did not answer on one."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.abort()
 
-    def distrust_older(self, since: timedelta) -> None:
+    def invalidate_older(self, since: timedelta) -> None:
         """Close the idle connections to all peers that were last used before a moment.
 
         Args:
--- a/passtally/copies.py
+++ b/passtally/copies.py
@@ -35,7 +35,7 @@
     until: timedelta
 
 
-class CopyShelf:
+class CopyStore:
     """The copies that this host keeps for its peers.
 
     Args:
@@ -226,12 +226,12 @@
     """Answers peers, and fetches copies for answers taken up here.
 
     Args:
-        shelf: The copies kept here.
+        copy_store: The copies kept here.
         peers: The links.
     """
 
-    def __init__(self, *, shelf: CopyShelf, peers: Peers) -> None:
-        self._shelf = shelf
+    def __init__(self, *, copy_store: CopyStore, peers: Peers) -> None:
+        self._copy_store = copy_store
         self._peers = peers
         peers.on(StoreCopies, self._store)
         peers.on(FetchCopy, self._fetch)
@@ -254,7 +254,7 @@
 
     async def _find(self, host_id: str, copy_id: str) -> array:
         if host_id == self._peers.host_id:
-            return self._shelf.fetch(copy_id)
+            return self._copy_store.fetch(copy_id)
         try:
             found = await self._peers.ask(host_id, FetchCopy(copy_id))
         except PeerError as error:
@@ -266,7 +266,7 @@
 
     async def _store(self, message: StoreCopies) -> CopiesHeld:
         counts_by_id = {
-            run.copy_id: self._shelf.store(
+            run.copy_id: self._copy_store.store(
                 run.copy_id, run.start, _to_array(run.token_ids)
             )
             for run in message.runs
@@ -274,7 +274,7 @@
         return CopiesHeld(counts_by_id=counts_by_id)
 
     async def _fetch(self, message: FetchCopy) -> CopyFound:
-        return CopyFound(self._shelf.fetch(message.copy_id).tobytes())
+        return CopyFound(self._copy_store.fetch(message.copy_id).tobytes())
 
 
 def _run_of(stream: CopiedStream) -> CopiedRun:
--- a/passtally/crash_guard.py
+++ b/passtally/crash_guard.py
@@ -14,13 +14,13 @@
 
 #: An endpoint that ends later than this after it began to run a request counts as ended
 #: by something else. One that a request ends does so with the first steps of its run.
-SOON = timedelta(seconds=2)
+CRASH_WINDOW = timedelta(seconds=2)
 #: From so many ends on, further tries are kept together at one endpoint. After one, a
 #: request is most likely innocent, and better off where there is the most room.
 SUSPECT_CRASHES = 2
 
 
-async def never_known(live: LiveEndpoint) -> bool:
+async def never_ended(live: LiveEndpoint) -> bool:
     """Return that an endpoint is not known to have ended."""
     return False
 
@@ -33,7 +33,8 @@
         clock: The clock.
         has_ended: Returns whether an endpoint is seen to have ended, and was not only
             cut off or silent.
-        on_held: Called with the fingerprint of each request that is refused from then.
+        on_quarantined: Called with the fingerprint of each request that is refused from
+            then.
         metrics: Where metrics go.
     """
 
@@ -42,14 +43,14 @@
         *,
         quarantine: Quarantine,
         clock: Clock,
-        has_ended: Callable[[LiveEndpoint], Awaitable[bool]] = never_known,
-        on_held: Callable[[bytes], None] = lambda fingerprint: None,
+        has_ended: Callable[[LiveEndpoint], Awaitable[bool]] = never_ended,
+        on_quarantined: Callable[[bytes], None] = lambda fingerprint: None,
         metrics: Metrics | None = None,
     ) -> None:
         self.quarantine = quarantine
         self._clock = clock
         self._has_ended = has_ended
-        self._on_held = on_held
+        self._on_quarantined = on_quarantined
         self._metrics = metrics or NoMetrics()
         #: Set when other hosts are to be told something.
         self.changed = asyncio.Event()
@@ -76,7 +77,7 @@
         """
         remaining = self.remaining(fingerprint)
         if remaining is not None:
-            raise held_back(service, remaining)
+            raise quarantine_error(service, remaining)
 
     async def has_ended(self, live: LiveEndpoint) -> bool:
         """Return whether an endpoint, where a connection broke, is seen to have ended.
@@ -91,7 +92,7 @@
             asking.add_done_callback(lambda _: self._asking_by_start.pop(start))
         return await asyncio.shield(asking)
 
-    def note_end(
+    def record_end(
         self, fingerprint: bytes, live: LiveEndpoint, *, began_at: timedelta | None
     ) -> None:
         """Take in that an endpoint has ended under a request.
@@ -108,15 +109,17 @@
         if began_at is None:
             is_suspected = live.has_served_one
         else:
-            is_suspected = now - began_at <= SOON
+            is_suspected = now - began_at <= CRASH_WINDOW
         if is_suspected:
-            self.note_crash(fingerprint, live)
+            self.record_crash(fingerprint, live)
 
-    def note_crash(self, fingerprint: bytes, live: LiveEndpoint) -> None:
+    def record_crash(self, fingerprint: bytes, live: LiveEndpoint) -> None:
         """Count the end of an endpoint against a request."""
         now = self._clock.monotonic()
         was_held = self.remaining(fingerprint) is not None
-        suspect = self.quarantine.note_crash(fingerprint, live.endpoint.start, now=now)
+        suspect = self.quarantine.record_crash(
+            fingerprint, live.endpoint.start, now=now
+        )
         if suspect is None:
             return
         self.changed.set()
@@ -127,10 +130,10 @@
             peer=live.endpoint.id,
             ended=suspect.open_crashes,
         )
-        if suspect.is_held and not was_held:
-            self.note_held(suspect)
+        if suspect.is_quarantined and not was_held:
+            self.record_quarantined(suspect)
 
-    def note_held(self, suspect: Suspect) -> None:
+    def record_quarantined(self, suspect: Suspect) -> None:
         """Take in that a request is refused from now on."""
         self._metrics.count(Metric.QUARANTINES)
         log_event(
@@ -139,11 +142,11 @@
             fingerprint=suspect.fingerprint.hex(),
             ended=suspect.open_crashes,
         )
-        self._on_held(suspect.fingerprint)
+        self._on_quarantined(suspect.fingerprint)
 
-    def note_good(self, fingerprint: bytes) -> None:
+    def record_success(self, fingerprint: bytes) -> None:
         """Take in that an endpoint ran a request to a good end."""
-        if self.quarantine.note_good(fingerprint, now=self._clock.monotonic()):
+        if self.quarantine.record_success(fingerprint, now=self._clock.monotonic()):
             self.changed.set()
 
     def lift(self, fingerprint: bytes) -> bool:
@@ -155,7 +158,7 @@
         return is_lifted
 
 
-def held_back(service: str, remaining: timedelta) -> RefusedError:
+def quarantine_error(service: str, remaining: timedelta) -> RefusedError:
     """Return the refusal of a request that ended too many endpoints.
 
     Its status is one that says when to come back: to a caller that tries again it is
--- a/passtally/daemon.py
+++ b/passtally/daemon.py
@@ -15,12 +15,13 @@
 
 from passtally.address_space import limit_arenas
 from passtally.api import METRICS_KEY, answer_failures
+from passtally.at_most_once import AtMostOnceCaller
 from passtally.catalog import Catalog, CatalogKeeper
 from passtally.claims import Claims
 from passtally.clock import Clock, SystemClock
 from passtally.completion_handler import CompletionHandler
 from passtally.config_store import ConfigStore
-from passtally.copies import CopySender, CopyService, CopyShelf
+from passtally.copies import CopySender, CopyService, CopyStore
 from passtally.crash_guard import CrashGuard
 from passtally.decision import log_event
 from passtally.departures import Departures, HostListReader
@@ -41,7 +42,6 @@
 from passtally.messages import MemberRow
 from passtally.metrics import Metrics, NoMetrics
 from passtally.objects import Endpoint
-from passtally.once import OnceCaller
 from passtally.operator_api import OperatorApi
 from passtally.orders import HttpOrders
 from passtally.peers import Peers
@@ -49,7 +49,7 @@
 from passtally.plain import PlainCaller
 from passtally.plain_handler import PlainHandler, SessionSender, open_session
 from passtally.quarantine import Quarantine
-from passtally.quarantine_news import QuarantineExchange
+from passtally.quarantine_exchange import QuarantineExchange
 from passtally.retry import RetryLimits
 from passtally.retry_budget import RetryBudgets
 from passtally.settings import Settings
@@ -221,7 +221,9 @@
             failure_domain=settings.failure_domain,
             domains_by_host=self.peers.domains_by_id,
         )
-        self.copies = CopyService(shelf=CopyShelf(clock=self.clock), peers=self.peers)
+        self.copies = CopyService(
+            copy_store=CopyStore(clock=self.clock), peers=self.peers
+        )
         self.claims = Claims(
             platform=self.platform,
             peers=self.peers,
@@ -237,7 +239,7 @@
             sender=SessionSender(session=self._plain_session),
             guard=self.guard,
         )
-        self.once = OnceCaller(
+        self.at_most_once = AtMostOnceCaller(
             caller=caller,
             claims=self.claims,
             clock=self.clock,
@@ -339,7 +341,7 @@
         completions = self.completions
         plain = PlainHandler(
             catalog=self.catalog,
-            caller=self.once,
+            caller=self.at_most_once,
             drain=self.drain,
             gate=self.gate,
         )
--- a/passtally/departures.py
+++ b/passtally/departures.py
@@ -19,9 +19,9 @@
 LIST_INTERVAL = timedelta(seconds=10)
 LEAVING = "leaving"
 #: Departures told to peers in one message, those told least first.
-MAX_TOLD = 10
+MAX_SENT = 10
 #: While one was told fewer times than this, peers are told at shorter intervals.
-TOLD_SOON = 16
+URGENT_SENDS = 16
 
 
 class Departures:
@@ -46,13 +46,13 @@
         return self._incarnations_by_id.get(endpoint.id, -1) >= endpoint.incarnation
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether peers have hardly been told of some departure."""
-        return any(told < TOLD_SOON for told in self._told_by_id.values())
+        return any(told < URGENT_SENDS for told in self._told_by_id.values())
 
-    def take_rows(self) -> list[DepartureRow]:
+    def pop_updates(self) -> list[DepartureRow]:
         """Return departures to tell peers, and count them as told."""
-        chosen = sorted(self._told_by_id, key=self._told_by_id.__getitem__)[:MAX_TOLD]
+        chosen = sorted(self._told_by_id, key=self._told_by_id.__getitem__)[:MAX_SENT]
         for endpoint_id in chosen:
             self._told_by_id[endpoint_id] += 1
         return [
@@ -71,7 +71,9 @@
             )
             self.note(start, channel="peer")
 
-    def take_list(self, hosts: Sequence[HostEntry], catalog: ServiceIndex) -> None:
+    def merge_host_list(
+        self, hosts: Sequence[HostEntry], catalog: ServiceIndex
+    ) -> None:
         """Take in the platform's list of hosts."""
         leaving = {entry.id for entry in hosts if entry.state == LEAVING}
         for endpoint in catalog.endpoints_by_id.values():
@@ -107,7 +109,7 @@
         while True:
             try:
                 hosts = await self._platform.hosts()
-                self._departures.take_list(hosts, self._catalog)
+                self._departures.merge_host_list(hosts, self._catalog)
             except PlatformError as error:
                 log_event("departures", "Host list out of reach.", why=error)
             await self._clock.sleep(LIST_INTERVAL)
--- a/passtally/dispatcher.py
+++ b/passtally/dispatcher.py
@@ -8,7 +8,7 @@
 import attrs
 
 from passtally.clock import Clock
-from passtally.crash_guard import CrashGuard, held_back
+from passtally.crash_guard import CrashGuard, quarantine_error
 from passtally.decision import log_decision
 from passtally.engine import AttemptLostError
 from passtally.fleet import Fleet
@@ -16,14 +16,14 @@
     Attempt,
     Generation,
     GenerationRequest,
-    SeamError,
+    ResumeMismatchError,
 )
 from passtally.live_endpoint import LiveEndpoint
 from passtally.metrics import Metric, Metrics, NoMetrics
 from passtally.outcome import Code, Outcome, RefusedError, refuse
 from passtally.placement import NoPlaceError, Placement
 from passtally.quarantine import Quarantine
-from passtally.relay import Relay, Sink, count_reading_tokens
+from passtally.relay import Relay, Sink, count_prefill_tokens
 from passtally.replica import ReplicaKeeper
 from passtally.retry import (
     UNRUN_KINDS,
@@ -33,10 +33,10 @@
     RetryDecision,
     RetryLimits,
     decide_after_loss,
-    is_death,
-    is_gone,
+    is_endpoint_dead,
+    is_endpoint_unreachable,
 )
-from passtally.retry_budget import Budgets, take_repeat, wait_for_repeat
+from passtally.retry_budget import Budgets, acquire_retry, wait_for_retry
 
 #: How long a stream is left with its engine for a caller to reconnect.
 LINGER = timedelta(seconds=2)
@@ -45,7 +45,7 @@
 TOOK_DOWN_TOO_MANY = "took down too many endpoints"
 #: Callers give a stream up after the longest of these gaps: so much, so many times its
 #: target, or so many times the longest pause that still keeps an answer in time.
-LEAST_GIVE_UP = timedelta(seconds=2)
+MIN_GIVE_UP = timedelta(seconds=2)
 GIVE_UP_TARGETS = 4
 GIVE_UP_PAUSES = 8
 
@@ -63,8 +63,8 @@
         reached: Whether it may have run somewhere.
         first_at: When its first output came.
         waiting_since: Since when its caller waits for an attempt's first output.
-        heard_at: When its last output came, or when it began.
-        has_repeat: Whether the repeat for its next loss is taken already.
+        last_output_at: When its last output came, or when it began.
+        has_retry: Whether the repeat for its next loss is taken already.
         last_error: How its last attempt was lost.
     """
 
@@ -73,8 +73,8 @@
     reached: bool = False
     first_at: timedelta | None = None
     waiting_since: timedelta
-    heard_at: timedelta
-    has_repeat: bool = False
+    last_output_at: timedelta
+    has_retry: bool = False
     last_error: AttemptLostError | None = None
 
 
@@ -137,11 +137,13 @@
             ConnectionError: The caller left.
         """
         now = self._clock.monotonic()
-        progress = _Progress(reached=bool(held_by), waiting_since=now, heard_at=now)
+        progress = _Progress(
+            reached=bool(held_by), waiting_since=now, last_output_at=now
+        )
         step = NextStep.ATTACH if held_by else NextStep.RESUME
         endpoint_id = held_by
         resume_ref = ""
-        self._refuse_held(generation)
+        self._refuse_quarantined(generation)
         self._metrics.count(Metric.REQUESTS)
         self._budgets.earn(
             generation.request.workspace, service=generation.request.service
@@ -150,7 +152,7 @@
             if step is NextStep.RESUME:
                 await self._recover_tokens(generation, recover, progress)
                 endpoint_id = await self._place(generation, progress)
-            if self._is_held(generation):
+            if self._is_quarantined(generation):
                 raise self._give_up(generation, progress, TOOK_DOWN_TOO_MANY)
             live = self._fleet.find(endpoint_id)
             if live is None or not self._fleet.try_send(live):
@@ -174,11 +176,11 @@
                     progress,
                     attach=step is NextStep.ATTACH,
                 )
-                self._note_whole(generation, progress, live)
-                self._guard.note_good(generation.request.fingerprint)
+                self._record_completion(generation, progress, live)
+                self._guard.record_success(generation.request.fingerprint)
                 return
             except AttemptLostError as loss:
-                decision = await self._take_loss(
+                decision = await self._handle_loss(
                     generation, attempt, live, loss, progress
                 )
                 step = decision.step
@@ -208,7 +210,9 @@
             load_changed=self._fleet.load_changed.set,
             on_first=lambda: self._time_first(generation, progress, live),
             first_limit=partial(self._forecast.first_limit, generation.request.service),
-            may_leave=partial(self._may_leave, generation, attempt, live, progress),
+            may_fail_over=partial(
+                self._may_fail_over, generation, attempt, live, progress
+            ),
         )
         keeper = ReplicaKeeper(
             generation=generation,
@@ -225,15 +229,15 @@
                 await relay.run(attach=attach)
         except AttemptLostError as loss:
             progress.reached = progress.reached or loss.kind not in UNRUN_KINDS
-            progress.heard_at = relay.heard_at or progress.heard_at
-            self._note_failure(generation, live, loss, has_begun=relay.has_begun)
+            progress.last_output_at = relay.last_output_at or progress.last_output_at
+            self._record_failure(generation, live, loss, has_begun=relay.has_begun)
             raise
         except (ConnectionError, asyncio.CancelledError):
             generation.abandon()
             self._cancel(live, generation, attempt, after=self._linger)
-            self._give_back_repeat(generation, progress)
+            self._release_retry(generation, progress)
             raise
-        self._give_back_repeat(generation, progress)
+        self._release_retry(generation, progress)
 
     async def _recover_tokens(
         self, generation: Generation, recover: Recovery | None, progress: _Progress
@@ -246,7 +250,7 @@
             return
         try:
             generation.restore(token_ids)
-        except SeamError as error:
+        except ResumeMismatchError as error:
             raise self._give_up(generation, progress, str(error)) from error
 
     async def _place(self, generation: Generation, progress: _Progress) -> str:
@@ -262,7 +266,7 @@
         except NoPlaceError as error:
             raise self._give_up(generation, progress, str(error)) from error
 
-    async def _take_loss(
+    async def _handle_loss(
         self,
         generation: Generation,
         attempt: Attempt,
@@ -275,21 +279,23 @@
         progress.waiting_since = self._clock.monotonic()
         self._metrics.count(Metric.LOST, loss.kind)
         was_attached = loss.step == "attach"
-        gone = is_gone(loss.kind, was_attached=was_attached)
+        gone = is_endpoint_unreachable(loss.kind, was_attached=was_attached)
         if gone:
             live.eject(self._clock.monotonic())
         elif loss.kind is RESET and not live.engine.keeps_streams:
-            await self._note_end(generation, attempt, live)
+            await self._record_end(generation, attempt, live)
         if gone or loss.kind is RESET:
-            self._fleet.note_loss(live, is_gone=gone)
+            self._fleet.record_loss(live, is_endpoint_unreachable=gone)
         if loss.kind is LossKind.REPLACED:
-            self._fleet.note_replaced(live, loss.successor)
-        if live.engine.keeps_streams and is_death(loss.kind, was_attached=was_attached):
-            self._guard.note_crash(generation.request.fingerprint, live)
+            self._fleet.record_replaced(live, loss.successor)
+        if live.engine.keeps_streams and is_endpoint_dead(
+            loss.kind, was_attached=was_attached
+        ):
+            self._guard.record_crash(generation.request.fingerprint, live)
         holder = _find_holder(generation, attempt, live)
         if holder is not Holder.ENDPOINT or was_attached or loss.kind is not RESET:
             progress.excluded.add(live.endpoint.id)
-        if loss.kind in (LossKind.FROZEN, LossKind.SEAM):
+        if loss.kind in (LossKind.FROZEN, LossKind.RESUME_MISMATCH):
             self._cancel(live, generation, attempt)
         is_unreached = loss.kind is LossKind.UNREACHABLE
         progress.unreached += is_unreached
@@ -300,10 +306,10 @@
             limits=_limits_of(generation, self._limits),
             holder=holder,
         )
-        if self._is_held(generation):
+        if self._is_quarantined(generation):
             decision = RetryDecision(step=NextStep.GIVE_UP, reason=TOOK_DOWN_TOO_MANY)
         if decision.step is not NextStep.GIVE_UP and not (
-            is_unreached or await self._take_repeat(generation, progress, loss.kind)
+            is_unreached or await self._acquire_retry(generation, progress, loss.kind)
         ):
             decision = RetryDecision(
                 step=NextStep.GIVE_UP, reason="the retry budget is spent"
@@ -323,21 +329,21 @@
         )
         return decision
 
-    async def _note_end(
+    async def _record_end(
         self, generation: Generation, attempt: Attempt, live: LiveEndpoint
     ) -> None:
         """Look whether an endpoint that broke an attempt off has ended under it."""
         if not self._fleet.is_serving(live) or not await self._guard.has_ended(live):
             return
-        self._fleet.note_end(live)
-        self._guard.note_end(
+        self._fleet.record_end(live)
+        self._guard.record_end(
             generation.request.fingerprint, live, began_at=attempt.begun_at
         )
 
-    def _is_held(self, generation: Generation) -> bool:
+    def _is_quarantined(self, generation: Generation) -> bool:
         return self._guard.remaining(generation.request.fingerprint) is not None
 
-    def _note_failure(
+    def _record_failure(
         self,
         generation: Generation,
         live: LiveEndpoint,
@@ -348,7 +354,7 @@
         """Count an attempt that failed after it may have run."""
         if loss.kind in UNRUN_KINDS:
             return
-        self._fleet.versions.note_answer(
+        self._fleet.versions.record_answer(
             live.endpoint,
             route=generation.request.route,
             answers=int(not has_begun),
@@ -362,7 +368,7 @@
         now = self._clock.monotonic()
         waited = now - progress.waiting_since
         is_new = not generation.delivered
-        self._fleet.versions.note_answer(
+        self._fleet.versions.record_answer(
             live.endpoint,
             route=generation.request.route,
             answers=1,
@@ -373,16 +379,16 @@
             return
         self._metrics.time(Metric.FIRST_TOKEN, waited)
         progress.first_at = now
-        tokens = count_reading_tokens(generation)
-        self._forecast.note_first(generation.request.service, tokens, waited)
+        tokens = count_prefill_tokens(generation)
+        self._forecast.record_first(generation.request.service, tokens, waited)
 
-    def _give_back_repeat(self, generation: Generation, progress: _Progress) -> None:
+    def _release_retry(self, generation: Generation, progress: _Progress) -> None:
         """Leave a repeat that was taken ahead to others: its endpoint was heard."""
-        if progress.has_repeat:
-            progress.has_repeat = False
-            self._budgets.give_back(service=generation.request.service)
+        if progress.has_retry:
+            progress.has_retry = False
+            self._budgets.release(service=generation.request.service)
 
-    def _note_whole(
+    def _record_completion(
         self, generation: Generation, progress: _Progress, live: LiveEndpoint
     ) -> None:
         """Learn how long answers are, and last, from one that began here."""
@@ -390,15 +396,15 @@
             return
         lasted = self._clock.monotonic() - progress.first_at
         service = generation.request.service
-        self._forecast.note_whole(service, generation.position, lasted)
+        self._forecast.record_completion(service, generation.position, lasted)
         if len(generation.attempts) == 1:
-            self._fleet.versions.note_answer(
+            self._fleet.versions.record_answer(
                 live.endpoint,
                 route=f"{generation.request.route} pace",
                 took=lasted / max(generation.position, 1),
             )
 
-    async def _may_leave(
+    async def _may_fail_over(
         self,
         generation: Generation,
         attempt: Attempt,
@@ -424,36 +430,36 @@
         excluded = set(progress.excluded)
         if kind is LossKind.FROZEN or not generation.delivered:
             excluded.add(live.endpoint.id)
-        may_leave = decision.step is NextStep.ATTACH or (
+        may_fail_over = decision.step is NextStep.ATTACH or (
             decision.step is NextStep.RESUME
             and self._placement.can_place(generation, excluded)
         )
-        if may_leave and not progress.has_repeat:
-            may_leave = progress.has_repeat = await self._may_repeat(generation)
-        if not may_leave and kind is LossKind.FROZEN and not live.is_ejected:
+        if may_fail_over and not progress.has_retry:
+            may_fail_over = progress.has_retry = await self._may_retry(generation)
+        if not may_fail_over and kind is LossKind.FROZEN and not live.is_ejected:
             live.eject(self._clock.monotonic())
-        return may_leave
+        return may_fail_over
 
-    async def _take_repeat(
+    async def _acquire_retry(
         self, generation: Generation, progress: _Progress, kind: LossKind
     ) -> bool:
         """Take the repeat for a loss; an answer that has begun waits for one.
 
         Each request earns a part of one, here and at the hosts that lend.
         """
-        if progress.has_repeat:
-            progress.has_repeat = False
+        if progress.has_retry:
+            progress.has_retry = False
             return True
-        until = progress.heard_at
+        until = progress.last_output_at
         if generation.delivered and generation.request.deadline is not None:
             until += _longest_wait(generation.request, kind)
-        take = partial(self._may_repeat, generation)
-        return await wait_for_repeat(take, clock=self._clock, until=until)
+        take = partial(self._may_retry, generation)
+        return await wait_for_retry(take, clock=self._clock, until=until)
 
-    async def _may_repeat(self, generation: Generation) -> bool:
+    async def _may_retry(self, generation: Generation) -> bool:
         """Take a repeat, or a resume, from the budget, or from other hosts'."""
         request = generation.request
-        return await take_repeat(
+        return await acquire_retry(
             self._budgets,
             request.workspace,
             service=request.service,
@@ -467,7 +473,7 @@
         request = generation.request
         held_for = self._guard.remaining(request.fingerprint)
         if held_for is not None and not progress.reached:
-            return held_back(request.service, held_for)
+            return quarantine_error(request.service, held_for)
         begun = generation.delivered > 0
         ran = progress.reached or begun
         return refuse(
@@ -478,17 +484,17 @@
             peer=progress.last_error.peer if progress.last_error else request.service,
             outcome=Outcome.UNKNOWN if ran else Outcome.NOT_RUN,
             retry_after=held_for
-            or self._fleet.wait_for_room(request.service)
+            or self._fleet.time_until_capacity(request.service)
             or RETRY_AFTER,
             position=generation.delivered if begun else None,
         )
 
-    def _refuse_held(self, generation: Generation) -> None:
+    def _refuse_quarantined(self, generation: Generation) -> None:
         request = generation.request
         remaining = self._guard.remaining(request.fingerprint)
         if remaining is not None:
             generation.refuse()
-            raise held_back(request.service, remaining)
+            raise quarantine_error(request.service, remaining)
 
     def _cancel(
         self,
@@ -539,4 +545,4 @@
     if kind is RESET:
         return max_gap
     target = request.target or timedelta(0)
-    return max(LEAST_GIVE_UP, GIVE_UP_TARGETS * target, GIVE_UP_PAUSES * max_gap)
+    return max(MIN_GIVE_UP, GIVE_UP_TARGETS * target, GIVE_UP_PAUSES * max_gap)
--- a/passtally/endpoint_words.py
+++ b/passtally/endpoint_directives.py
@@ -1,7 +1,7 @@
 """What the heads of answers say of the endpoint that gave them.
 
 Each answer of an endpoint is asked for these words once, where its head is read, before
-its status is judged; whoever decides is told by :class:`AnswerNotes`.
+its status is judged; whoever decides is told by :class:`DirectiveRecorder`.
 """
 
 from collections.abc import Mapping, Sequence
@@ -18,7 +18,7 @@
 MAX_KEPT = 64
 
 
-class Word(StrEnum):
+class Directive(StrEnum):
     """One thing that an endpoint says of itself."""
 
     LEAVING = "leaving"
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class EndpointWords:
+class EndpointDirectives:
     """What one answer says of its endpoint.
 
     Attributes:
@@ -35,28 +35,28 @@
             the same.
         limit: The requests a second that it takes from all hosts; None for no limit.
         rest: For how long it wants no request of this host; None for no rest.
-        odd_by_word: What can't be read, as it was written; it changes nothing.
+        invalid_by_directive: What can't be read, as it was written; it changes nothing.
         unread: The headers that may say more of it, and that nothing here knows.
     """
 
     is_leaving: bool = False
     limit: float | None = None
     rest: timedelta | None = None
-    odd_by_word: Mapping[Word, str] = attrs.field(factory=dict)
+    invalid_by_directive: Mapping[Directive, str] = attrs.field(factory=dict)
     unread: Sequence[str] = ()
 
 
-class AnswerNotes(Protocol):
+class DirectiveRecorder(Protocol):
     """Where what answers say of their endpoints is noted."""
 
     def start_of(self, endpoint_id: str) -> EndpointStart:
         """Return which start of an endpoint is known."""
 
-    def may_ask(self, start: EndpointStart) -> bool:
+    def may_query(self, start: EndpointStart) -> bool:
         """Return whether an endpoint wants to be asked anything by this host."""
 
-    def note_words(
-        self, start: EndpointStart, words: EndpointWords, *, sent_at: timedelta
+    def record_directives(
+        self, start: EndpointStart, words: EndpointDirectives, *, sent_at: timedelta
     ) -> None:
         """Take in what an answer says.
 
@@ -68,24 +68,24 @@
         """
 
 
-class OddWords:
+class InvalidDirectiveLog:
     """Logs what endpoints say that can't be read, each once."""
 
     def __init__(self) -> None:
-        self._odd_by_endpoint: dict[str, Mapping[Word, str]] = {}
+        self._invalid_by_endpoint: dict[str, Mapping[Directive, str]] = {}
         self._unread: set[str] = set()
 
-    def note(self, endpoint_id: str, words: EndpointWords) -> None:
+    def note(self, endpoint_id: str, words: EndpointDirectives) -> None:
         """Log what can't be read, unless the endpoint's last answer said the same."""
         for name in words.unread:
             if name not in self._unread and len(self._unread) < MAX_KEPT:
                 self._unread.add(name)
                 log_event("words", "Nobody reads it.", peer=endpoint_id, header=name)
-        odd_by_word = words.odd_by_word
-        if self._odd_by_endpoint.get(endpoint_id, {}) == odd_by_word:
+        invalid_by_directive = words.invalid_by_directive
+        if self._invalid_by_endpoint.get(endpoint_id, {}) == invalid_by_directive:
             return
-        if len(self._odd_by_endpoint) >= MAX_KEPT:
-            self._odd_by_endpoint.clear()
-        self._odd_by_endpoint[endpoint_id] = odd_by_word
-        for word, told in odd_by_word.items():
+        if len(self._invalid_by_endpoint) >= MAX_KEPT:
+            self._invalid_by_endpoint.clear()
+        self._invalid_by_endpoint[endpoint_id] = invalid_by_directive
+        for word, told in invalid_by_directive.items():
             log_event("words", "Can't be read.", peer=endpoint_id, word=word, told=told)
--- a/passtally/endpoint_book.py
+++ b/passtally/endpoint_registry.py
@@ -19,11 +19,11 @@
 
 #: How long after the platform's return a missing entry is still kept. The users'
 #: letter: lapsed entries are back within about two seconds.
-SETTLE = timedelta(seconds=2.2)
+MISSING_ENTRY_GRACE = timedelta(seconds=2.2)
 CHECK_INTERVAL = timedelta(milliseconds=200)
 
 
-class EndpointBook:
+class EndpointRegistry:
     """Keeps a catalog's endpoints equal to the entries that count.
 
     Args:
@@ -40,7 +40,7 @@
         *,
         catalog: ServiceIndex,
         clock: Clock,
-        settle: timedelta = SETTLE,
+        settle: timedelta = MISSING_ENTRY_GRACE,
         gone: Callable[[str], None] = lambda endpoint_id: None,
         came: Callable[[Endpoint], None] = lambda endpoint: None,
     ) -> None:
@@ -91,7 +91,7 @@
             url=endpoint.url,
         )
 
-    def withhold(self, endpoint_id: str, *, reason: str) -> None:
+    def put_unreadable(self, endpoint_id: str, *, reason: str) -> None:
         """Take in an entry that can't be read: it names no endpoint to use.
 
         An endpoint that is known gets no new work until it can be read again; what
@@ -122,13 +122,13 @@
             else:
                 self._drop(endpoint_id, reason="its entry was removed")
 
-    def note_reach(self, is_reachable: bool) -> None:
+    def record_reachability(self, is_reachable: bool) -> None:
         """Take in that the platform went out of reach or came back."""
         if is_reachable and self._is_away:
             self._back_at = self._clock.monotonic()
         self._is_away = not is_reachable
 
-    def note_era(self, era: int) -> None:
+    def record_era(self, era: int) -> None:
         """Take in of which era of the platform an entry is."""
         if self._era is not None and era > self._era:
             self._back_at = self._returned_at = self._clock.monotonic()
--- a/passtally/engine.py
+++ b/passtally/engine.py
@@ -125,7 +125,7 @@
     async def probe(self) -> LoadReport | None:
         """Return its load report, or None where none came in time."""
 
-    async def count_unread(self) -> int:
+    async def count_waiting(self) -> int:
         """Return how many runs there have no output yet, all hosts' together.
 
         The number may be some hundred milliseconds old.
@@ -134,7 +134,7 @@
             AttemptLostError: None came in time, or the endpoint has ended.
         """
 
-    async def list_kept_prompts(self) -> Collection[str]:
+    async def list_cached_prompts(self) -> Collection[str]:
         """Return what names the prompts that its memory keeps, as far as it tells.
 
         Raises:
--- a/passtally/executor.py
+++ b/passtally/executor.py
@@ -82,7 +82,7 @@
             if self._catalog.ledger.entries:
                 await self._work()
             else:
-                await self._lease.give_back()
+                await self._lease.release()
             pause = RENEW_INTERVAL if self._lease.is_held else self._pause()
             await self._clock.sleep(pause)
 
@@ -220,7 +220,7 @@
         deadline = self._clock.monotonic() + ORDER_PATIENCE
         while True:
             try:
-                await self._orders.give(
+                await self._orders.send_order(
                     self._find_endpoint(step),
                     kind=kind,
                     value=step.value,
--- a/passtally/failing_endpoints.py
+++ b/passtally/failing_endpoints.py
@@ -18,7 +18,7 @@
 ERROR = 0.005
 #: A rate of failures below this is not told from it: one failure in some dozen answers
 #: is chance. With it two failures in a row are enough, and one never is.
-LEAST_RATE = 0.02
+MIN_RATE = 0.02
 #: The test weighs no rate below the usual one; what it then tolerates is not asked.
 TOLERATED_RATE = 0.5
 #: How far back answers are held against each other. Where 90 hosts share the calls, a
@@ -69,8 +69,8 @@
         if len(others) == sum(others):
             return False
         # Without a failure among few answers, the least rate stands for the usual one.
-        usual = max(LEAST_RATE, sum(others) / len(others))
-        test = MixtureTest(usual=usual, tolerated=TOLERATED_RATE, error=ERROR)
+        baseline = max(MIN_RATE, sum(others) / len(others))
+        test = MixtureTest(baseline=baseline, tolerated=TOLERATED_RATE, error=ERROR)
         return test.judge(len(own), sum(own)) is Finding.HIGH
 
     def _count_since_failure(
--- a/passtally/fleet.py
+++ b/passtally/fleet.py
@@ -9,7 +9,12 @@
 from passtally.clock import Clock
 from passtally.decision import log_event
 from passtally.departures import Departures
-from passtally.endpoint_words import EndpointWords, OddWords, Word
+from passtally.endpoint_backoff import EndpointBackoffs
+from passtally.endpoint_directives import (
+    Directive,
+    EndpointDirectives,
+    InvalidDirectiveLog,
+)
 from passtally.engine import Engine
 from passtally.failing_endpoints import CallRecord
 from passtally.live_endpoint import (
@@ -21,7 +26,6 @@
 from passtally.messages import TokenLoad
 from passtally.objects import Endpoint, EndpointStart, EndpointState, is_placed
 from passtally.request_limits import RequestLimits
-from passtally.rests import Rests
 from passtally.routing import EndpointView
 from passtally.service_index import ServiceIndex
 from passtally.silence import (
@@ -38,7 +42,7 @@
 MAX_REACH_CHECKS = 6
 #: For how long after a loss its failure domain is avoided. Endpoints of one domain
 #: are often lost together, and noticed one after the other.
-SHAKY_FOR = timedelta(seconds=1.5)
+UNSTABLE_TIME = timedelta(seconds=1.5)
 
 
 @attrs.frozen(kw_only=True)
@@ -91,8 +95,8 @@
         limits: RequestLimits | None = None,
     ) -> None:
         self.limits = limits or RequestLimits()
-        self._odd_words = OddWords()
-        self._rests = Rests()
+        self._invalid_directives = InvalidDirectiveLog()
+        self._backoffs = EndpointBackoffs()
         self.versions = versions or AnyVersion()
         self._on_silent = on_silent
         self._catalog = catalog
@@ -142,9 +146,9 @@
         endpoint = self._catalog.endpoints_by_id.get(endpoint_id)
         if endpoint is None or not self.versions.allows(endpoint):
             return False
-        return self.is_sound(endpoint_id)
+        return self.is_healthy(endpoint_id)
 
-    def is_sound(self, endpoint_id: str) -> bool:
+    def is_healthy(self, endpoint_id: str) -> bool:
         """Return whether an endpoint is known, and neither leaving nor ejected."""
         if endpoint_id not in self._catalog.endpoints_by_id:
             return False
@@ -173,33 +177,34 @@
                 return True
         return not in_use
 
-    def note_words(
-        self, start: EndpointStart, words: EndpointWords, *, sent_at: timedelta
+    def record_directives(
+        self, start: EndpointStart, words: EndpointDirectives, *, sent_at: timedelta
     ) -> None:
-        """Take in what an answer says; see :class:`AnswerNotes`."""
+        """Take in what an answer says; see :class:`DirectiveRecorder`."""
         now = self._clock.monotonic()
-        self._odd_words.note(start.endpoint_id, words)
+        self._invalid_directives.note(start.endpoint_id, words)
         if words.is_leaving:
             self._departures.note(start, channel="its answers")
-        if Word.REST not in words.odd_by_word:
-            self._rests.note_answer(start, words.rest, sent_at=sent_at, now=now)
-        if Word.LIMIT not in words.odd_by_word and self.limits.note_answer(
-            start, words.limit, sent_at=sent_at, now=now
+        if Directive.REST not in words.invalid_by_directive:
+            self._backoffs.record_answer(start, words.rest, sent_at=sent_at, now=now)
+        if (
+            Directive.LIMIT not in words.invalid_by_directive
+            and self.limits.record_answer(start, words.limit, sent_at=sent_at, now=now)
         ):
             self.load_changed.set()
 
     def try_send(self, live: LiveEndpoint) -> bool:
         """Count a request that is sent to an endpoint, if the endpoint wants it now."""
         start, now = live.endpoint.start, self._clock.monotonic()
-        if not self._rests.may_send(start, now=now):
+        if not self._backoffs.may_send(start, now=now):
             return False
-        return self.limits.take(start, now=now) and self._rests.take(start, now=now)
+        return self.limits.take(start, now=now) and self._backoffs.take(start, now=now)
 
-    def may_ask(self, start: EndpointStart) -> bool:
+    def may_query(self, start: EndpointStart) -> bool:
         """Return whether an endpoint wants to be asked anything by this host."""
-        return self._rests.is_over(start, now=self._clock.monotonic())
+        return self._backoffs.is_over(start, now=self._clock.monotonic())
 
-    def wait_for_room(self, service_id: str) -> timedelta:
+    def time_until_capacity(self, service_id: str) -> timedelta:
         """Return how long it takes until an endpoint wants a request.
 
         Zero where one has asked for no rest and names no limit, or has room.
@@ -207,15 +212,15 @@
         now = self._clock.monotonic()
         waits = [
             max(
-                self.limits.wait_for_room(endpoint.start, now=now),
-                self._rests.wait(endpoint.start, now=now),
+                self.limits.time_until_capacity(endpoint.start, now=now),
+                self._backoffs.wait(endpoint.start, now=now),
             )
             for endpoint in self._catalog.endpoints_of(service_id)
             if self.find(endpoint.id).state is EndpointState.ACTIVE
         ]
         return min(waits, default=timedelta(0))
 
-    def may_take_within(self, service_id: str, patience: timedelta) -> bool:
+    def may_accept_within(self, service_id: str, patience: timedelta) -> bool:
         """Return whether an endpoint that is known may take a request by then.
 
         True where none is known: one may come at any time.
@@ -232,18 +237,18 @@
         ]
         if not staying:
             return not known
-        return self.wait_for_room(service_id) <= patience
+        return self.time_until_capacity(service_id) <= patience
 
-    def note_loss(self, live: LiveEndpoint, *, is_gone: bool) -> None:
+    def record_loss(self, live: LiveEndpoint, *, is_endpoint_unreachable: bool) -> None:
         """Take in that a run was lost: its whole failure domain may be going.
 
         Args:
             live: Where it was lost.
-            is_gone: Whether the endpoint itself is out of reach.
+            is_endpoint_unreachable: Whether the endpoint itself is out of reach.
         """
         domain = live.endpoint.failure_domain
         self._lost_at_by_domain[domain] = self._clock.monotonic()
-        if is_gone:
+        if is_endpoint_unreachable:
             self._losses.add(live.endpoint.start)
             self.load_changed.set()
 
@@ -255,10 +260,10 @@
         is_known = live.endpoint.id in self._catalog.endpoints_by_id
         return is_known and live.state is EndpointState.ACTIVE
 
-    def note_end(self, live: LiveEndpoint) -> None:
+    def record_end(self, live: LiveEndpoint) -> None:
         """Take in that an endpoint is seen to have ended, and tell other hosts."""
         live.eject(self._clock.monotonic())
-        self.note_loss(live, is_gone=True)
+        self.record_loss(live, is_endpoint_unreachable=True)
 
     def end_streams(self, fingerprint: bytes) -> None:
         """End this host's attempts at one request that have not begun to answer."""
@@ -267,7 +272,7 @@
                 if guard.fingerprint == fingerprint and not guard.reads:
                     guard.lose()
 
-    def note_call(self, live: LiveEndpoint, *, is_fault: bool) -> None:
+    def record_call(self, live: LiveEndpoint, *, is_fault: bool) -> None:
         """Take in how a plain call ended; an endpoint that fails many is left alone.
 
         Args:
@@ -279,9 +284,9 @@
         record = self._calls_by_service.setdefault(endpoint.service, CallRecord())
         record.note(endpoint.id, is_failure=is_fault, now=now)
         if not is_fault:
-            live.readmit()
+            live.reset_ejection()
             return
-        live.doubt(now)
+        live.deprioritize(now)
         others = self.list_failing(endpoint.service) - {endpoint.id}
         if self._may_leave_alone(endpoint.service, len(others) + 1) and (
             record.is_failing(endpoint.id, left_out=others, now=now)
@@ -309,7 +314,7 @@
         )
         return 2 * count <= in_use
 
-    def note_start(self, endpoint: Endpoint) -> None:
+    def record_start(self, endpoint: Endpoint) -> None:
         """Take in an endpoint's entry: it may have started again under its id.
 
         Nothing that was learned of the start before holds for the new one. What is
@@ -329,7 +334,7 @@
         endpoint = self._catalog.endpoints_by_id.get(endpoint_id)
         return endpoint.start if endpoint else EndpointStart(endpoint_id=endpoint_id)
 
-    def note_peer_loss(self, start: EndpointStart) -> None:
+    def record_peer_loss(self, start: EndpointStart) -> None:
         """Take in that a peer found an endpoint gone.
 
         Where this host's own runs go on there, it knows better. One that has started
@@ -346,13 +351,13 @@
             live.eject(now)
             log_event("endpoints", "A peer found it gone.", peer=endpoint_id)
 
-    def note_replaced(self, live: LiveEndpoint, successor_id: str) -> None:
+    def record_replaced(self, live: LiveEndpoint, successor_id: str) -> None:
         """Take in that an endpoint has ended, and which one has its address."""
-        live.note_ended()
+        live.record_ended()
         if successor_id and successor_id not in self._catalog.endpoints_by_id:
             self._on_successor(live.endpoint, successor_id)
 
-    def take_losses(self) -> list[EndpointStart]:
+    def pop_losses(self) -> list[EndpointStart]:
         """Return the starts of endpoints found gone since the last call."""
         losses, self._losses = self._losses, set()
         return sorted(losses, key=lambda start: start.endpoint_id)
@@ -361,24 +366,24 @@
         """Return what this host's runs take at endpoints, where they take any."""
         return {
             endpoint_id: TokenLoad(
-                held=live.held_tokens,
-                reading=live.reading_tokens,
+                held=live.kv_tokens,
+                reading=live.prefill_tokens,
                 running=live.running_streams,
                 incarnation=live.endpoint.incarnation,
             )
             for endpoint_id, live in self._live_by_id.items()
-            if live.held_tokens or live.reading_tokens
+            if live.kv_tokens or live.prefill_tokens
         }
 
-    def _is_shaky(self, domain: str) -> bool:
+    def _is_unstable(self, domain: str) -> bool:
         lost_at = self._lost_at_by_domain.get(domain)
         if lost_at is None:
             return False
-        return self._clock.monotonic() - lost_at < SHAKY_FOR
+        return self._clock.monotonic() - lost_at < UNSTABLE_TIME
 
     def forget(self, endpoint_id: str) -> None:
         """Drop the state of an endpoint that is gone, once it has no streams."""
-        self._rests.forget(endpoint_id)
+        self._backoffs.forget(endpoint_id)
         live = self._live_by_id.get(endpoint_id)
         if live is not None and not live.own_streams:
             del self._live_by_id[endpoint_id]
@@ -407,9 +412,9 @@
         live = self.find(endpoint_id)
         start, now = live.endpoint.start, self._clock.monotonic()
         return live.view(
-            is_shaky=self._is_shaky(live.endpoint.failure_domain),
-            may_be_sent=self._rests.may_send(start, now=now)
-            and self.limits.has_room(start, now=now),
+            is_unstable=self._is_unstable(live.endpoint.failure_domain),
+            accepts_requests=self._backoffs.may_send(start, now=now)
+            and self.limits.has_capacity(start, now=now),
         )
 
     def service_capacity(self, service_id: str) -> "Capacity":
@@ -417,7 +422,7 @@
         views = [
             view
             for view in self.views(service_id)
-            if view.state is EndpointState.ACTIVE and view.may_be_sent
+            if view.state is EndpointState.ACTIVE and view.accepts_requests
         ]
         return Capacity(
             places=sum(view.max_streams for view in views),
@@ -462,7 +467,7 @@
             oldest = min(busy, key=lambda live: live.reported_at)
             report = await oldest.engine.probe()
             if report is not None:
-                oldest.take_report(report)
+                oldest.update_report(report)
             else:
                 oldest.reported_at = self._clock.monotonic()
 
@@ -479,6 +484,6 @@
             self._lag.tick(now - due)
             for live in [*self._live_by_id.values(), *self._former]:
                 if self._lag.is_lagging:
-                    live.excuse_silence(now)
+                    live.reset_silence(now)
                 else:
                     live.check_silence(now)
--- a/passtally/follower.py
+++ b/passtally/follower.py
@@ -14,8 +14,8 @@
     TooOldError,
 )
 
-FIRST_RETRY = timedelta(milliseconds=100)
-LAST_RETRY = timedelta(seconds=2)
+INITIAL_RETRY_DELAY = timedelta(milliseconds=100)
+MAX_RETRY_DELAY = timedelta(seconds=2)
 #: An answer of more bytes takes a tenth of a second of a link of 10 Mbit/s, or longer.
 #: Changes gather while it comes, so no pause follows it: where 527 KB change every
 #: 200 ms a host is 1.6 s behind, and 2.9 s with a pause.
@@ -45,7 +45,7 @@
         relist_pause: Returns within which time hosts list again.
         wait: How long one watch waits for a change, a pause before it included.
         pause: How long changes are gathered before the next watch asks for them.
-        last_retry: The longest pause between two tries.
+        max_retry_delay: The longest pause between two tries.
         out_of_date_after: After how long without news a listing takes the place of the
             first watch; None for never. A watch brings all states since then.
         reach_changed: Called when the watch goes down or up.
@@ -63,7 +63,7 @@
         relist_pause: Callable[[], timedelta],
         wait: timedelta = WATCH_TIMEOUT,
         pause: timedelta = timedelta(0),
-        last_retry: timedelta = LAST_RETRY,
+        max_retry_delay: timedelta = MAX_RETRY_DELAY,
         out_of_date_after: timedelta | None = None,
         reach_changed: Callable[[bool], None] = lambda is_watching: None,
     ) -> None:
@@ -78,10 +78,10 @@
         self._relist_pause = relist_pause
         self._wait = wait
         self._pause = pause
-        self._last_retry = last_retry
+        self._max_retry_delay = max_retry_delay
         self._out_of_date_after = out_of_date_after
         self._reach_changed = reach_changed
-        self._delay = FIRST_RETRY
+        self._delay = INITIAL_RETRY_DELAY
         self._known_at: timedelta | None = None
         self._listed_bytes = 0
         self._piles_up = False
@@ -124,10 +124,10 @@
     async def _back_off(self, error: PlatformError) -> None:
         """Wait before the next try, longer each time until a watch is up again."""
         if self.is_watching:
-            self._delay = FIRST_RETRY
-        self._note_reach(False, why=error)
+            self._delay = INITIAL_RETRY_DELAY
+        self._record_reachability(False, why=error)
         await self._sleep(self._delay)
-        self._delay = min(2 * self._delay, self._last_retry)
+        self._delay = min(2 * self._delay, self._max_retry_delay)
 
     async def _list(self) -> bool:
         """List, and return whether anything is new since the last answer."""
@@ -146,7 +146,7 @@
                 pause = await self._list_piled()
             elif self._is_out_of_date():
                 await self._list()
-                self._note_reach(True, version=self.version)
+                self._record_reachability(True, version=self.version)
                 pause = self._pause
             else:
                 pause = await self._ask(wait)
@@ -162,7 +162,7 @@
         changes = await self._platform.watch(
             self._prefix, after=self.version, wait=wait
         )
-        self._note_reach(True, version=changes.version)
+        self._record_reachability(True, version=changes.version)
         self.version = max(self.version, changes.version)
         self._known_at = self._clock.monotonic()
         self._piles_up = (
@@ -177,7 +177,7 @@
         began = self._clock.monotonic()
         self._piles_up = await self._list()
         took = self._clock.monotonic() - began
-        self._note_reach(True, version=self.version)
+        self._record_reachability(True, version=self.version)
         return max(self._pause, took) if self._piles_up else timedelta(0)
 
     def _is_out_of_date(self) -> bool:
@@ -186,7 +186,7 @@
         age = self._clock.monotonic() - self._known_at
         return age > self._out_of_date_after
 
-    def _note_reach(self, is_watching: bool, **fields: object) -> None:
+    def _record_reachability(self, is_watching: bool, **fields: object) -> None:
         if is_watching == self.is_watching:
             return
         self.is_watching = is_watching
--- a/passtally/forecast.py
+++ b/passtally/forecast.py
@@ -11,10 +11,10 @@
 import attrs
 
 #: Answers that are remembered of each service: some ten seconds of a busy host.
-REMEMBERED = 32
+HISTORY_SIZE = 32
 #: Nothing is forecast from fewer answers. A host that was started after a loss of all
 #: hosts has seen about this many when callers come back that did not notice at once.
-LEAST_SEEN = 4
+MIN_SAMPLES = 4
 #: The quantiles are deciles; the first is the lowest.
 _DECILES = 10
 #: Prompt tokens that an engine reads in a second, until it was seen: the sheets of the
@@ -48,9 +48,9 @@
         steps: Seconds from one position to the next.
     """
 
-    speeds: deque[float] = attrs.field(factory=lambda: deque(maxlen=REMEMBERED))
-    lengths: deque[int] = attrs.field(factory=lambda: deque(maxlen=REMEMBERED))
-    steps: deque[float] = attrs.field(factory=lambda: deque(maxlen=REMEMBERED))
+    speeds: deque[float] = attrs.field(factory=lambda: deque(maxlen=HISTORY_SIZE))
+    lengths: deque[int] = attrs.field(factory=lambda: deque(maxlen=HISTORY_SIZE))
+    steps: deque[float] = attrs.field(factory=lambda: deque(maxlen=HISTORY_SIZE))
 
 
 class Forecast:
@@ -59,12 +59,14 @@
     def __init__(self) -> None:
         self._seen_by_service: dict[str, _Seen] = {}
 
-    def note_first(self, service: str, tokens: int, waited: timedelta) -> None:
+    def record_first(self, service: str, tokens: int, waited: timedelta) -> None:
         """Take in how long a prompt of so many tokens took to its first output."""
         if tokens and waited:
             self._seen(service).speeds.append(tokens / waited.total_seconds())
 
-    def note_whole(self, service: str, positions: int, lasted: timedelta) -> None:
+    def record_completion(
+        self, service: str, positions: int, lasted: timedelta
+    ) -> None:
         """Take in a whole answer, and how long it lasted from its first output on."""
         if positions < 2:
             return
@@ -72,7 +74,7 @@
         seen.lengths.append(positions)
         seen.steps.append(lasted.total_seconds() / (positions - 1))
 
-    def least_time(self, service: str, *, tokens: int, position: int) -> timedelta:
+    def min_time(self, service: str, *, tokens: int, position: int) -> timedelta:
         """Return the least time in which an answer is likely to be whole.
 
         Args:
@@ -84,24 +86,24 @@
             The time for a short answer, read quickly; 0 where too little was seen.
         """
         seen = self._seen(service)
-        if min(len(seen.speeds), len(seen.lengths)) < LEAST_SEEN:
+        if min(len(seen.speeds), len(seen.lengths)) < MIN_SAMPLES:
             return timedelta(0)
         left = max(0.0, _decile(seen.lengths, _SHORT) - position)
         reading = tokens / _decile(seen.speeds, _QUICK_READING)
         return timedelta(seconds=reading + left * _decile(seen.steps, _QUICK_STEP))
 
-    def reading_time(self, service: str, tokens: int) -> timedelta:
+    def prefill_time(self, service: str, tokens: int) -> timedelta:
         """Return the least time in which so many tokens are likely to be read.
 
         Returns:
             The time for a quick reading; 0 where too little was seen.
         """
         seen = self._seen(service)
-        if len(seen.speeds) < LEAST_SEEN:
+        if len(seen.speeds) < MIN_SAMPLES:
             return timedelta(0)
         return timedelta(seconds=tokens / _decile(seen.speeds, _QUICK_READING))
 
-    def usual_time(self, service: str, *, tokens: int) -> timedelta:
+    def typical_time(self, service: str, *, tokens: int) -> timedelta:
         """Return the time in which four answers in five are likely to be whole.
 
         Args:
@@ -109,7 +111,7 @@
             tokens: The prompt's length; 0 where that is not known.
         """
         seen = self._seen(service)
-        if min(len(seen.speeds), len(seen.lengths)) < LEAST_SEEN:
+        if min(len(seen.speeds), len(seen.lengths)) < MIN_SAMPLES:
             return START_LASTS
         reading = tokens / _decile(seen.speeds, _USUAL)
         writing = _decile(seen.lengths, _LONG) * _decile(seen.steps, _USUAL)
@@ -130,7 +132,7 @@
             return None
         seen = self._seen(service)
         speed = START_SPEED
-        if len(seen.speeds) >= LEAST_SEEN:
+        if len(seen.speeds) >= MIN_SAMPLES:
             speed = min(speed, _decile(seen.speeds, _SLOW_READING))
         return FIRST_SLACK + timedelta(seconds=2 * tokens / speed)
 
--- a/passtally/front.py
+++ b/passtally/front.py
@@ -15,7 +15,6 @@
 from passtally.decision import log_event
 from passtally.dispatcher import Dispatcher
 from passtally.drain import Drain
-from passtally.fair_timeout import FairTimeout
 from passtally.fingerprint import fingerprint_of
 from passtally.forecast import Forecast
 from passtally.gate import Gate
@@ -30,8 +29,9 @@
 from passtally.metrics import Metric, Metrics
 from passtally.objects import Service, ServiceKind
 from passtally.outcome import Code, Failure, Outcome, RefusedError, refuse
+from passtally.pause_aware_timeout import PauseAwareTimeout
 from passtally.plain import PlainAnswer, PlainCall, PlainCaller
-from passtally.routes import CallKind, Route, RouteSet, RoutesInForce
+from passtally.routes import ActiveRoutes, CallKind, Route, RouteSet
 
 #: When a caller is to come back after a refusal that says nothing else.
 RETRY_AFTER = timedelta(seconds=1)
@@ -112,7 +112,7 @@
     async def end(self) -> None:
         """Mark a stream as complete."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End a stream so that it can't look complete."""
 
 
@@ -148,7 +148,7 @@
     def __init__(
         self,
         *,
-        routes: RoutesInForce,
+        routes: ActiveRoutes,
         dispatcher: Dispatcher,
         caller: PlainCaller,
         gate: Gate,
@@ -214,7 +214,7 @@
         self._guard.check(admitted.fingerprint, service=admitted.service)
         route = admitted.route
         is_stream = route.kind is CallKind.STREAM
-        needed = self._usual_time(admitted) if is_stream else _patience_of(route)
+        needed = self._typical_time(admitted) if is_stream else _patience_of(route)
         self._drain.check_time(needed, now=self._clock.monotonic())
         admission = AdmissionRequest(
             id=request.id,
@@ -230,11 +230,11 @@
                 return await self._stream(admitted, responder)
             return await self._call(admitted, responder)
 
-    def _usual_time(self, admitted: _Admitted) -> timedelta:
+    def _typical_time(self, admitted: _Admitted) -> timedelta:
         """Return how long a stream is likely to take."""
         prompt = admitted.request.prompt
         tokens = prompt.tokens if prompt else 0
-        return self._forecast.usual_time(admitted.service, tokens=tokens)
+        return self._forecast.typical_time(admitted.service, tokens=tokens)
 
     async def _wait_for_start(self) -> None:
         """Let a request that came while the host starts wait for what it must know."""
@@ -318,20 +318,20 @@
         sink = _StreamSink(responder=responder, clock=self._clock)
         left = admitted.deadline - self._clock.monotonic()
         try:
-            async with FairTimeout(left, clock=self._clock):
+            async with PauseAwareTimeout(left, clock=self._clock):
                 await self._dispatcher.run(generation, sink)
         except RefusedError as error:
             if not sink.has_begun:
                 raise
-            responder.break_off()
+            responder.abort()
             return f"broken off at {generation.delivered}: {error.failure.message}"
         except TimeoutError:
             if not sink.has_begun:
                 raise _too_late(admitted, generation) from None
-            responder.break_off()
+            responder.abort()
             return f"broken off at {generation.delivered}: out of time"
         if not sink.may_end:
-            responder.break_off()
+            responder.abort()
             return f"broken off at {generation.delivered}: its end is not certain"
         await responder.end()
         return (
@@ -375,14 +375,14 @@
 
     async def write(self, deliveries: Sequence[Delivery]) -> None:
         """Take new output; returns when more may come."""
-        self._note_pause()
+        self._record_pause()
         if not self.has_begun:
             self.has_begun = True
             self._first_head = self._attempt.head
             await self._responder.begin(self._attempt.head)
         await self._responder.write(b"".join(item.payload for item in deliveries))
 
-    def _note_pause(self) -> None:
+    def _record_pause(self) -> None:
         now = self._clock.monotonic()
         pause, self._last_at = now - self._last_at, now
         if self.has_begun:
--- a/passtally/front_host.py
+++ b/passtally/front_host.py
@@ -19,48 +19,48 @@
 from passtally.departures import Departures
 from passtally.dispatcher import Dispatcher
 from passtally.drain import Drain
-from passtally.endpoint_book import EndpointBook
+from passtally.endpoint_registry import EndpointRegistry
 from passtally.engine import Engine
-from passtally.fair_timeout import FairTimeout
 from passtally.fleet import Fleet
 from passtally.follower import Follower
 from passtally.forecast import Forecast
 from passtally.front import Front
 from passtally.gate import Gate
 from passtally.host_links import HostLinks
-from passtally.host_news import LoadBoard, NewsExchange
 from passtally.host_reload import HostReload
 from passtally.host_servers import HostServers
 from passtally.http_server import ServerLimits
 from passtally.isolation import Isolation
 from passtally.limit_sharers import LimitSharers
 from passtally.listeners import CALLERS, PEERS, Listeners
+from passtally.load_exchange import LoadExchange, LoadTable
 from passtally.metrics import Metric
-from passtally.object_intake import ObjectIntake
+from passtally.object_applier import ObjectApplier
 from passtally.objects import (
     UNTOLD_START,
     Endpoint,
     EndpointState,
 )
 from passtally.overload import Overload
+from passtally.pause_aware_timeout import PauseAwareTimeout
 from passtally.placement import Placement
 from passtally.plain import PlainCaller
 from passtally.quarantine import Quarantine
-from passtally.quarantine_news import QuarantineExchange
+from passtally.quarantine_exchange import QuarantineExchange
 from passtally.request_limits import RequestLimits
 from passtally.retry import RetryLimits
 from passtally.retry_budget import ServiceBudgets
 from passtally.rollouts import Rollouts
-from passtally.routes import RoutesInForce
+from passtally.routes import ActiveRoutes
 from passtally.service_index import ServiceIndex
 from passtally.settings import Address, Settings, parse_address
+from passtally.shared_watch import SharedWatch
 from passtally.silence import Phase, SilenceBounds
 from passtally.supervisor import keep_running
 from passtally.survey import Survey
 from passtally.text_metrics import TextMetrics
 from passtally.versions import AnyVersion
 from passtally.view import View
-from passtally.watch_share import WatchShare
 
 #: The part of the time in which a change must be in force for which one watch waits.
 #: A store that compacts its history lets watches hear nothing, and does not always
@@ -76,7 +76,7 @@
 LONG_WATCH = timedelta(seconds=10)
 #: The longest pause between two tries to reach the store. The users count a store as
 #: back three seconds after its return; a change must be in force two seconds later.
-LAST_RETRY = timedelta(milliseconds=800)
+MAX_RETRY_DELAY = timedelta(milliseconds=800)
 #: A host that had no news for this long lists rather than asks for all states since.
 #: 19 hosts on links of 5 Mbit/s that return after 5.5 s, beside a change of 110 KB each
 #: 200 ms, have the newest state within 0.4 s, and otherwise within 6.1 s.
@@ -133,14 +133,14 @@
         self.metrics = TextMetrics()
         self.drain = Drain(max_open=settings.max_streams)
         self.catalog = ServiceIndex()
-        self.routes = RoutesInForce()
+        self.routes = ActiveRoutes()
         #: Endpoints that ended for good, which hosts tell each other: a replica there
         #: is lost, also while the platform can't say so.
         self.departures = Departures()
         self.pool = ConnectionPool(clock=clock)
         #: Set once the routes and some endpoints are known.
         self._learned = asyncio.Event()
-        self.listeners = Listeners(clock=clock, on_open=self._note_open)
+        self.listeners = Listeners(clock=clock, on_open=self._record_open)
         self.reloading = HostReload(host=self)
         self._tasks: set[asyncio.Task[Any]] = set()
 
@@ -151,12 +151,12 @@
         self._build_servers()
         for name, work in (
             ("watch", self.watch.run),
-            ("missing endpoints", self.book.run),
+            ("missing endpoints", self.registry.run),
             ("silence", self.fleet.watch_silence),
             ("gate", self.gate.run),
             ("gossip", self.gossip.run),
             ("roster", lambda: self.roster.run(self.gossip)),
-            ("news", self.news.run),
+            ("news", self.load_exchange.run),
             ("quarantine", self.quarantine_news.run),
             ("quarantine of others", self.quarantine_news.ask),
             ("isolation", self.isolation.run),
@@ -191,7 +191,7 @@
         log_event("daemon", "Stopping.", open=self.drain.open_requests)
         self.spawn(self._close_idle_later())
         try:
-            async with FairTimeout(limit, clock=self.clock):
+            async with PauseAwareTimeout(limit, clock=self.clock):
                 await self.drain.stop(
                     balancer_lag=self.settings.balancer_lag,
                     ends_at=self.clock.monotonic() + limit,
@@ -214,7 +214,7 @@
             return
         self.reloading.take(settings)
 
-    def _note_open(self, name: str, address: Address) -> None:
+    def _record_open(self, name: str, address: Address) -> None:
         """Tell the other hosts where they reach this one, once they do."""
         table = self.gossip.table
         if name == PEERS and table.own.address != str(address):
@@ -239,46 +239,49 @@
         )
         self.peers, self.roster = links.peers, links.roster
         self.gossip, self.loans = links.gossip, links.loans
-        self.board = LoadBoard()
+        self.load_table = LoadTable()
         self.rollouts = self._build_rollouts()
         sharers = LimitSharers(roster=self.roster, catalog=self.catalog)
         self.fleet = Fleet(
             limits=RequestLimits(count_hosts=sharers.count, rank=sharers.rank),
             versions=self.rollouts,
             departures=self.departures,
-            others_load=self.board.load,
+            others_load=self.load_table.load,
             on_successor=self._meet_successor,
-            on_silent=self.pool.distrust_older,
+            on_silent=self.pool.invalidate_older,
             catalog=self.catalog,
             clock=self.clock,
             connect=self._connect,
             bounds_by_phase=SILENCE_BOUNDS_BY_PHASE,
             capacity_of=self.routes.capacity_of,
         )
-        self.book = EndpointBook(
+        self.registry = EndpointRegistry(
             catalog=self.catalog,
             clock=self.clock,
             gone=self.fleet.forget,
             came=self._meet_start,
         )
-        intake = ObjectIntake(
+        object_applier = ObjectApplier(
             adapter=self._adapter,
             routes=self.routes,
             catalog=self.catalog,
-            book=self.book,
+            registry=self.registry,
             rollouts=self.rollouts,
             learned=self._learned,
             routes_changed=self._tell_routes,
         )
-        self._intake = intake
+        self._object_applier = object_applier
         views = [
-            View(prefix=self._adapter.routes_prefix, apply=intake.take_routes),
-            View(prefix=self._adapter.endpoints_prefix, apply=intake.take_endpoints),
+            View(prefix=self._adapter.routes_prefix, apply=object_applier.apply_routes),
+            View(
+                prefix=self._adapter.endpoints_prefix,
+                apply=object_applier.apply_endpoints,
+            ),
         ]
         if self.rollouts is not None:
             self.rollouts.use(self.fleet)
             views.append(self._make_rollouts_view())
-        self.watch = WatchShare(
+        self.watch = SharedWatch(
             host_id=self.settings.host_id,
             views=views,
             follow=self._follow,
@@ -286,14 +289,16 @@
             roster=self.roster,
             clock=self.clock,
             rng=random.Random(),
-            reach_changed=self.book.note_reach,
+            reach_changed=self.registry.record_reachability,
         )
         self.gossip.versions = self.watch.newest
-        self.gossip.seeks_versions = lambda: not self.watch.is_reached
+        self.gossip.seeks_versions = lambda: not self.watch.is_receiving
 
     def _make_rollouts_view(self) -> View:
         orders = self._adapter.rollouts_prefix
-        return View(prefix=orders, apply=self._intake.take_rollouts, is_vital=False)
+        return View(
+            prefix=orders, apply=self._object_applier.apply_rollouts, is_vital=False
+        )
 
     def _follow_rollouts(self) -> None:
         """Look at the roll-outs under way, if any are followed."""
@@ -303,7 +308,7 @@
 
     def add_rollouts(self) -> None:
         """Follow orders of new versions from now on."""
-        self.rollouts = self._intake.rollouts = self._build_rollouts()
+        self.rollouts = self._object_applier.rollouts = self._build_rollouts()
         self.rollouts.use(self.fleet)
         for endpoint in self.catalog.endpoints_by_id.values():
             self.rollouts.meet(endpoint)
@@ -349,9 +354,9 @@
     def _knows_orders(self) -> bool:
         """Return whether all orders of new versions are known that others know."""
         orders = self._adapter.rollouts_prefix
-        return self.watch.is_reached and not self.watch.is_behind(orders)
+        return self.watch.is_receiving and not self.watch.is_behind(orders)
 
-    def _follow(self, share: WatchShare, view: View) -> Follower:
+    def _follow(self, share: SharedWatch, view: View) -> Follower:
         return Follower(
             prefix=view.prefix,
             platform=self.store,
@@ -362,7 +367,7 @@
             relist_pause=lambda: RELIST_PAUSE,
             wait=self.watch_wait(view),
             pause=self.gather_pause(),
-            last_retry=LAST_RETRY,
+            max_retry_delay=MAX_RETRY_DELAY,
             out_of_date_after=OUT_OF_DATE_AFTER,
         )
 
@@ -391,27 +396,29 @@
             ask_others=loans.ask,
         )
         loans.lend_from(budgets)
-        self.news = NewsExchange(
+        self.load_exchange = LoadExchange(
             host_id=settings.host_id,
-            board=self.board,
+            load_table=self.load_table,
             fleet=self.fleet,
             peers=self.peers,
             roster=self.roster,
             clock=self.clock,
-            on_lost=self.fleet.note_peer_loss,
+            on_lost=self.fleet.record_peer_loss,
         )
         self.guard = CrashGuard(
             quarantine=Quarantine(),
             clock=self.clock,
             has_ended=lambda live: live.engine.has_ended(),
-            on_held=self.fleet.end_streams,
+            on_quarantined=self.fleet.end_streams,
             metrics=self.metrics,
         )
         self.quarantine_news = QuarantineExchange(
             guard=self.guard,
             peers=self.peers,
             linked_ids=lambda: [row.host_id for row in self.roster.linked()],
-            far_ids=lambda: () if self.roster.hears_all else self.roster.far_ids(),
+            far_ids=lambda: (
+                () if self.roster.is_fully_linked else self.roster.far_ids()
+            ),
             clock=self.clock,
             rng=random.Random(),
         )
@@ -422,9 +429,9 @@
             roster=self.roster,
             clock=self.clock,
             services=lambda: self.catalog.services_by_id,
-            has_platform=lambda: self.watch.is_reached,
+            has_platform=lambda: self.watch.is_receiving,
             overload=self.overload,
-            changed=self._note_isolation,
+            changed=self._record_isolation,
         )
         forecast = Forecast()
         self.gate = Gate(fleet=self.fleet, clock=self.clock)
@@ -434,7 +441,7 @@
             failure_domain=settings.failure_domain,
             keeps_replicas=self.routes.keeps_replicas,
             survey=Survey(
-                fleet=self.fleet, is_needed=lambda: not self.roster.hears_all
+                fleet=self.fleet, is_needed=lambda: not self.roster.is_fully_linked
             ),
             forecast=forecast,
             is_suspect=self.guard.is_suspect,
@@ -455,7 +462,7 @@
             failure_domain=settings.failure_domain,
             budgets=budgets,
             sender=self._adapter.make_sender(
-                pool=self.pool, clock=self.clock, notes=self.fleet
+                pool=self.pool, clock=self.clock, recorder=self.fleet
             ),
             guard=self.guard,
         )
@@ -473,7 +480,7 @@
             is_behind=lambda: self.watch.is_behind(self._adapter.routes_prefix),
         )
 
-    def _note_isolation(self, is_isolated: bool) -> None:
+    def _record_isolation(self, is_isolated: bool) -> None:
         """Send callers on kept connections away too, or keep them again."""
         self.front_server.is_closing = is_isolated or self.drain.is_stopping
 
@@ -484,7 +491,7 @@
             peers=self.peers,
             handle=self._adapter.make_handler(self.front),
             limits=self._limits,
-            accepted=lambda waited: self.overload.note_connection(
+            accepted=lambda waited: self.overload.record_connection(
                 waited, now=self.clock.monotonic()
             ),
             encode_ready=lambda: self._adapter.encode_ready(self.is_ready),
@@ -501,7 +508,7 @@
             endpoint,
             pool=self.pool,
             clock=self.clock,
-            notes=self.fleet,
+            recorder=self.fleet,
             find_address=self._find_address,
         )
 
@@ -524,14 +531,14 @@
 
     async def _adopt(self, successor: Endpoint) -> None:
         if await self._adapter.is_engine(self._connect(successor)):
-            self.book.put(successor)
+            self.registry.put(successor)
 
     def _meet_start(self, endpoint: Endpoint) -> None:
         """Use no connection of the start before: a call sent on one is lost there."""
-        self.fleet.note_start(endpoint)
+        self.fleet.record_start(endpoint)
         if self.rollouts is not None:
             self.rollouts.meet(endpoint)
-        self.pool.distrust(_address_of(endpoint))
+        self.pool.invalidate(_address_of(endpoint))
 
     def _find_address(self, endpoint_id: str) -> Address | None:
         endpoint = self.catalog.endpoints_by_id.get(endpoint_id)
@@ -550,7 +557,7 @@
         self.metrics.gauge(Metric.PEER_BYTES, self.peers.bytes_sent)
         if self.rollouts is not None:
             self.metrics.gauge(Metric.ROLLOUTS, self.rollouts.under_way)
-        self.metrics.gauge(Metric.PLATFORM_AWAY, int(not self.watch.is_reached))
+        self.metrics.gauge(Metric.PLATFORM_AWAY, int(not self.watch.is_receiving))
         return self.metrics.render()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
--- a/passtally/generation.py
+++ b/passtally/generation.py
@@ -16,7 +16,7 @@
 from passtally.statechart import Machine
 
 
-class SeamError(Exception):
+class ResumeMismatchError(Exception):
     """An attempt sent tokens that do not join on to what was delivered."""
 
 
@@ -257,7 +257,7 @@
             What is new for the caller, or None where nothing is.
 
         Raises:
-            SeamError: Tokens or text are missing before the event, or it
+            ResumeMismatchError: Tokens or text are missing before the event, or it
                 contradicts tokens that are already held.
         """
         if attempt is not self._current:
@@ -285,13 +285,13 @@
         """Take in the tokens that the caller has, from a copy.
 
         Raises:
-            SeamError: They are too few, or contradict tokens that are held.
+            ResumeMismatchError: They are too few, or contradict tokens that are held.
         """
         held = self.position
         if len(token_ids) < self.delivered or held > len(token_ids):
-            raise SeamError(f"the copy ends at {len(token_ids)}")
+            raise ResumeMismatchError(f"the copy ends at {len(token_ids)}")
         if self.token_ids != array("I", token_ids[:held]):
-            raise SeamError("the copy has other tokens")
+            raise ResumeMismatchError("the copy has other tokens")
         self.token_ids = array("I", token_ids)
 
     def refuse(self) -> None:
@@ -309,21 +309,23 @@
         held = self.position
         overlap = held - event.position
         if overlap < 0:
-            raise SeamError(f"tokens {held} to {event.position} are missing")
+            raise ResumeMismatchError(f"tokens {held} to {event.position} are missing")
         if overlap == 0:
             self.token_ids.extend(event.token_ids)
             return
         repeated = event.token_ids[:overlap]
         known = self.token_ids[event.position : event.position + len(repeated)]
         if list(known) != list(repeated):
-            raise SeamError(f"other tokens were delivered from {event.position} on")
+            raise ResumeMismatchError(
+                f"other tokens were delivered from {event.position} on"
+            )
         attempt.dropped_tokens += len(repeated)
         self.token_ids.extend(event.token_ids[overlap:])
 
     def _join_text(self, event: TokenEvent) -> str:
         overlap = self.delivered_characters - event.text_offset
         if overlap < 0:
-            raise SeamError(
+            raise ResumeMismatchError(
                 f"characters {self.delivered_characters} to"
                 f" {event.text_offset} are missing"
             )
@@ -333,7 +335,9 @@
 
     def _finish(self, event: TokenEvent) -> None:
         if self.position < self.delivered:
-            raise SeamError(f"it ended at {self.position}, before {self.delivered}")
+            raise ResumeMismatchError(
+                f"it ended at {self.position}, before {self.delivered}"
+            )
         self.finish_reason = event.finish_reason
         self.prompt_tokens = event.prompt_tokens
         self._current = None
--- a/passtally/host_reload.py
+++ b/passtally/host_reload.py
@@ -14,9 +14,9 @@
 
 from passtally.clock import Clock
 from passtally.decision import log_event
-from passtally.host_news import NewsExchange
 from passtally.host_servers import HostServers
 from passtally.listeners import CALLERS, METRICS, PEERS, READINESS
+from passtally.load_exchange import LoadExchange
 from passtally.membership import Gossip
 from passtally.object_store import MovablePlatform
 from passtally.peers import Peers
@@ -25,11 +25,16 @@
 from passtally.retry_budget import ServiceBudgets
 from passtally.rollouts import Rollouts
 from passtally.roster import Roster
-from passtally.routes import RoutesInForce
+from passtally.routes import ActiveRoutes
 from passtally.settings import Settings
-from passtally.settings_change import Take, find_changes, hand_out, keep_untakeable
+from passtally.settings_change import (
+    Apply,
+    apply_changes,
+    find_changes,
+    keep_unappliable,
+)
+from passtally.shared_watch import SharedWatch
 from passtally.view import View
-from passtally.watch_share import WatchShare
 
 #: How long a host that is told another key for messages between hosts signs with the
 #: one before as well. The hosts of a fleet are told within seconds of each other, and
@@ -49,7 +54,7 @@
         peers: The links to other hosts.
         gossip: Tells other hosts of it.
         roster: Knows the other hosts.
-        news: Tells other hosts its load.
+        load_exchange: Tells other hosts its load.
         store: The client of the store.
         watch: Follows the store's objects.
         routes: The routes in force.
@@ -65,10 +70,10 @@
     peers: Peers
     gossip: Gossip
     roster: Roster
-    news: NewsExchange
+    load_exchange: LoadExchange
     store: MovablePlatform
-    watch: WatchShare
-    routes: RoutesInForce
+    watch: SharedWatch
+    routes: ActiveRoutes
     placement: Placement
     caller: PlainCaller
     budgets: ServiceBudgets
@@ -105,13 +110,13 @@
     def take(self, told: Settings) -> None:
         """Put what has changed in force."""
         host = self._host
-        takers_by_name = self.takers_by_name
+        appliers_by_name = self.appliers_by_name
         before = host.settings
         changes = find_changes(before, told)
-        host.settings = keep_untakeable(before, told, takeable=takers_by_name)
+        host.settings = keep_unappliable(before, told, takeable=appliers_by_name)
         if before.resume_keys != host.settings.resume_keys:
-            self._note_former_key(before)
-        failed = hand_out(changes, takers_by_name=takers_by_name)
+            self._record_former_key(before)
+        failed = apply_changes(changes, appliers_by_name=appliers_by_name)
         # Not in force: so they are told again, and tried again, at the next look.
         kept = {change.name: change.was for change in failed}
         host.settings = attrs.evolve(host.settings, **kept)
@@ -119,7 +124,7 @@
         log_event("daemon", "Settings read again.", changed=names)
 
     @property
-    def takers_by_name(self) -> Mapping[str, Take]:
+    def appliers_by_name(self) -> Mapping[str, Apply]:
         """What takes each setting that a host uses and may be told anew."""
         return {
             "host_id": self._take_name,
@@ -149,7 +154,7 @@
         host = self._host
         host_id = host.settings.host_id
         host.gossip.table.change_own(now=host.clock.monotonic(), host_id=host_id)
-        host.peers.host_id = host.news.host_id = host_id
+        host.peers.host_id = host.load_exchange.host_id = host_id
         host.watch.rename(host_id)
         if host.rollouts is not None:
             # As after a start: what was counted stays told of the old name.
@@ -182,9 +187,9 @@
         host = self._host
         host.store.move(host.settings.platform)
         host.routes.renew()
-        host.watch.list_anew()
+        host.watch.relist()
 
-    def _note_former_key(self, before: Settings) -> None:
+    def _record_former_key(self, before: Settings) -> None:
         """Let the key that signed sign on for a while, until all hosts were told."""
         key = next(iter(before.resume_keys.values()))
         until = self._host.clock.monotonic() + KEY_OVERLAP
--- a/passtally/http_engine.py
+++ b/passtally/http_engine.py
@@ -128,14 +128,14 @@
     async def drop_copy(self, replica_ref: str, target: str) -> None:
         """Do nothing: there are no copies."""
 
-    async def count_unread(self) -> int:
+    async def count_waiting(self) -> int:
         """Return how many runs are queued there."""
         report = await self.probe()
         if report is None:
             raise self._lost(LossKind.FROZEN, "report", "no answer in time")
         return report.queued
 
-    async def list_kept_prompts(self) -> Collection[str]:
+    async def list_cached_prompts(self) -> Collection[str]:
         """Return none: these engines' cache events are not read."""
         return ()
 
@@ -209,7 +209,7 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise self._lost(LossKind.RESET, _describe(error)) from error
         except (msgspec.MsgspecError, ValueError) as error:
-            raise self._lost(LossKind.SEAM, str(error)) from error
+            raise self._lost(LossKind.RESUME_MISMATCH, str(error)) from error
         return []
 
     def close(self) -> None:
--- a/passtally/http_server.py
+++ b/passtally/http_server.py
@@ -41,7 +41,7 @@
 #: Below this part of what it may have a server is not full any more.
 ROOM_PART = 0.9
 #: What each server may have in any case.
-LEAST_CONNECTIONS = 4
+MIN_CONNECTIONS = 4
 #: Where Linux's struct tcp_info holds since when nothing has come, in milliseconds.
 TCP_INFO_BYTES = 60
 LAST_DATA_OFFSET = 52
@@ -155,7 +155,7 @@
         """Mark the answer as complete."""
         self._connection.send_end()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Close the connection, so that the answer can't look complete."""
         self._connection.abort()
 
@@ -577,7 +577,7 @@
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY:
         return sys.maxsize
-    return max(LEAST_CONNECTIONS, int(part * soft))
+    return max(MIN_CONNECTIONS, int(part * soft))
 
 
 def _check_framing(head: h11.Request) -> None:
--- a/passtally/isolation.py
+++ b/passtally/isolation.py
@@ -69,13 +69,13 @@
             due_at = self._clock.monotonic() + CHECK_INTERVAL
             await self._clock.sleep(CHECK_INTERVAL)
             now = self._clock.monotonic()
-            self._overload.note_timer(now - due_at, now=now)
-            await self.look()
+            self._overload.record_timer(now - due_at, now=now)
+            await self.check()
 
-    async def look(self) -> None:
+    async def check(self) -> None:
         """Look once."""
         missing = await self._find_missing()
-        if self._overload.is_on and self._roster.others():
+        if self._overload.is_overloaded and self._roster.others():
             missing.append(PROCESSOR)
         is_isolated = bool(missing)
         if is_isolated == self.is_isolated:
@@ -108,6 +108,6 @@
             # A cut that lasts is forgotten by gossip, not healed by it.
             return self.is_isolated
         for host_id in far:
-            if await self._peers.is_in_reach(host_id):
+            if await self._peers.is_reachable(host_id):
                 return False
         return True
--- a/passtally/lease.py
+++ b/passtally/lease.py
@@ -84,7 +84,7 @@
             log_event("lease", "Could not renew.", key=self._key, why=error)
         return self.is_held
 
-    async def give_back(self) -> None:
+    async def release(self) -> None:
         """Let another host take it at once. Losing this write does no harm."""
         if not self.is_held:
             return
--- a/passtally/live_endpoint.py
+++ b/passtally/live_endpoint.py
@@ -28,7 +28,7 @@
 #: a stream that begins meanwhile may be missing for 0.8 s at least before it matters.
 IDLE_WATCH_INTERVAL = timedelta(milliseconds=250)
 #: Load reports are not older than this.
-LONGEST_REPORT_LAG = timedelta(seconds=2)
+MAX_REPORT_LAG = timedelta(seconds=2)
 #: A timer of this host that is later than this shows that it can't judge others.
 MAX_OWN_LAG = timedelta(milliseconds=100)
 #: Left of the longest pause that a caller allows for going on elsewhere: a look each
@@ -40,9 +40,9 @@
 HELD_PAUSE = timedelta(milliseconds=600)
 #: For how long an endpoint that failed a call is passed over where another can take the
 #: next one: so a host that used it alone learns how its neighbours do.
-DOUBT_FOR = timedelta(seconds=1.5)
-FIRST_EJECTION = timedelta(seconds=1)
-LAST_EJECTION = timedelta(seconds=30)
+DEPRIORITIZED_TIME = timedelta(seconds=1.5)
+INITIAL_EJECTION = timedelta(seconds=1)
+MAX_EJECTION = timedelta(seconds=30)
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -57,8 +57,8 @@
         first_limit: Returns when it is given up before its first output though its
             endpoint lives, by the most tokens that waited there to be read; None for
             the endpoint's own limit.
-        most_reading: The most tokens of prompts, all hosts' as far as they are known,
-            that its endpoint had still to read since it was sent there.
+        max_prefill_tokens: The most tokens of prompts, all hosts' as far as they are
+            known, that its endpoint had still to read since it was sent there.
         max_gap: The longest pause between two outputs that its caller allows, if it
             is known.
         reads: How many reads brought output.
@@ -76,7 +76,7 @@
 
     quiet_since: timedelta
     first_limit: Callable[[int], timedelta | None] = lambda tokens: None
-    most_reading: int = 0
+    max_prefill_tokens: int = 0
     max_gap: timedelta | None = None
     reads: int = 0
     is_waiting: bool = True
@@ -96,7 +96,7 @@
             usual: The endpoint's own limit for its phase.
         """
         if self.phase is Phase.FIRST_TOKEN:
-            return self.first_limit(self.most_reading) or usual
+            return self.first_limit(self.max_prefill_tokens) or usual
         if self.max_gap is None or usual is None:
             return usual
         return max(usual, self.max_gap - GOING_ON)
@@ -198,16 +198,16 @@
         self.own_streams = 0
         self.resume_tokens = 0
         #: Tokens that its memory holds for this host's runs and replicas.
-        self.held_tokens = 0
+        self.kv_tokens = 0
         #: Tokens of this host's prompts that it is still to read.
-        self.reading_tokens = 0
+        self.prefill_tokens = 0
         self.capacity_tokens = 0
         #: Calls in a row that were not answered in time.
         self.unanswered_calls = 0
         self.guards: set[StreamGuard] = set()
         self.ejected_until: timedelta | None = None
         #: Whether a request is under way that shows whether it is back.
-        self._is_on_trial = False
+        self._is_half_open = False
         #: Whether it was put out of use for its failures and has not answered since.
         self.is_failing = False
         self._own_at_report = 0
@@ -230,8 +230,8 @@
             for phase, bounds in bounds_by_phase.items()
         }
         self._report = LoadReport(running=0, queued=0, step=0)
-        self._doubted_until = timedelta(0)
-        self.readmit()
+        self._deprioritized_until = timedelta(0)
+        self.reset_ejection()
 
     def lose_streams(self) -> None:
         """End all streams there: nothing holds them any more."""
@@ -239,49 +239,51 @@
             guard.lose()
 
     @property
-    def unread_streams(self) -> int:
+    def waiting_streams(self) -> int:
         """How many of this host's streams there have no output yet."""
         return sum(not guard.reads for guard in self.guards)
 
     @property
     def running_streams(self) -> int:
         """How many of this host's streams there have output already."""
-        return len(self.guards) - self.unread_streams
+        return len(self.guards) - self.waiting_streams
 
     def enter(self) -> None:
         """Count one more of this host's requests."""
         self.own_streams += 1
         if self.is_ejected or self.is_failing:
-            self._is_on_trial = True
+            self._is_half_open = True
 
     def leave(self) -> None:
         """Count one of this host's requests out."""
         now = self._clock.monotonic()
-        if self.own_streams >= self._peak or now - self._peak_at > LONGEST_REPORT_LAG:
+        if self.own_streams >= self._peak or now - self._peak_at > MAX_REPORT_LAG:
             self._peak = self.own_streams
             self._peak_at = now
         self.own_streams -= 1
         if not self.own_streams:
-            self._is_on_trial = False
+            self._is_half_open = False
 
     @property
     def has_served_one(self) -> bool:
         """Whether no more than one request was there a moment ago, as far as known."""
-        is_recent = self._clock.monotonic() - self._peak_at <= LONGEST_REPORT_LAG
+        is_recent = self._clock.monotonic() - self._peak_at <= MAX_REPORT_LAG
         others = self._others_load(self.endpoint.start)
         return self.own_streams + (self._peak if is_recent else 0) <= 1 and not (
             others.held or others.reading or others.running
         )
 
-    def view(self, *, is_shaky: bool = False, may_be_sent: bool = True) -> EndpointView:
+    def view(
+        self, *, is_unstable: bool = False, accepts_requests: bool = True
+    ) -> EndpointView:
         """Return what decisions read.
 
         Args:
-            is_shaky: Whether a run was lost in its failure domain a moment ago.
-            may_be_sent: Whether it wants a request of this host now.
+            is_unstable: Whether a run was lost in its failure domain a moment ago.
+            accepts_requests: Whether it wants a request of this host now.
         """
         others = self._others_load(self.endpoint.start)
-        is_doubted = self._clock.monotonic() < self._doubted_until
+        is_doubted = self._clock.monotonic() < self._deprioritized_until
         return EndpointView(
             id=self.endpoint.id,
             failure_domain=self.endpoint.failure_domain,
@@ -293,21 +295,21 @@
             max_streams=self.endpoint.max_streams,
             ejected_until=self.ejected_until,
             resume_tokens=self.resume_tokens,
-            is_shaky=is_shaky or is_doubted,
-            is_on_trial=self._is_on_trial,
-            held_tokens=self.held_tokens + others.held,
-            reading_tokens=self.reading_tokens + others.reading,
+            is_unstable=is_unstable or is_doubted,
+            is_half_open=self._is_half_open,
+            kv_tokens=self.kv_tokens + others.held,
+            prefill_tokens=self.prefill_tokens + others.reading,
             running_streams=self.running_streams + others.running,
             capacity_tokens=self.capacity_tokens,
-            may_be_sent=may_be_sent,
+            accepts_requests=accepts_requests,
         )
 
-    def take_report(self, report: LoadReport) -> None:
+    def update_report(self, report: LoadReport) -> None:
         """Take in what the endpoint says of itself."""
         self.has_engine = True
         self._report = report
         # A report may still show requests of this host that have ended since.
-        is_recent = self._clock.monotonic() - self._peak_at <= LONGEST_REPORT_LAG
+        is_recent = self._clock.monotonic() - self._peak_at <= MAX_REPORT_LAG
         own_then = self._peak if is_recent else 0
         self._own_at_report = max(self.own_streams, own_then)
         self.reported_at = self._clock.monotonic()
@@ -321,7 +323,7 @@
             return EndpointState.DRAINING
         return self.endpoint.state
 
-    def note_ended(self) -> None:
+    def record_ended(self) -> None:
         """Take in that it has ended for good, whatever the configuration says."""
         self._departures.note(self.endpoint.start, channel="its address")
 
@@ -334,42 +336,42 @@
     def eject(self, now: timedelta) -> None:
         """Give it no new work for a while, longer each time."""
         self.ejected_until = now + self._ejection
-        self._ejection = min(2 * self._ejection, LAST_EJECTION)
+        self._ejection = min(2 * self._ejection, MAX_EJECTION)
 
     def eject_failing(self, now: timedelta) -> None:
         """Give it no new work for a while; then one call at a time until it is well."""
         self.eject(now)
         self.is_failing = True
 
-    def doubt(self, now: timedelta) -> None:
+    def deprioritize(self, now: timedelta) -> None:
         """Pass it over for a moment where another can take a call."""
-        self._doubted_until = now + DOUBT_FOR
+        self._deprioritized_until = now + DEPRIORITIZED_TIME
 
-    def readmit(self) -> None:
+    def reset_ejection(self) -> None:
         """Forget past ejections and unanswered calls, after an answer."""
         self.unanswered_calls = 0
         self.is_failing = False
-        self._is_on_trial = False
+        self._is_half_open = False
         self.ejected_until = None
-        self._ejection = FIRST_EJECTION
+        self._ejection = INITIAL_EJECTION
 
     def check_silence(self, now: timedelta) -> None:
         """Start a probe if a stream has been silent for too long."""
         if self._probe is not None and not self._probe.done():
             return
-        self._note_reading()
+        self._record_prefill()
         silent = [guard for guard in self.guards if self._is_silent(guard, now)]
         if silent:
             self._probe = asyncio.create_task(self._probe_until_decided(silent))
 
-    def _note_reading(self) -> None:
+    def _record_prefill(self) -> None:
         """Take in how much waits to be read, for the streams that wait with it."""
         others = self._others_load(self.endpoint.start)
-        reading = self.reading_tokens + others.reading
+        reading = self.prefill_tokens + others.reading
         for guard in self.guards:
-            guard.most_reading = max(guard.most_reading, reading)
+            guard.max_prefill_tokens = max(guard.max_prefill_tokens, reading)
 
-    def excuse_silence(self, now: timedelta) -> None:
+    def reset_silence(self, now: timedelta) -> None:
         """Count silence anew: this host was too busy to hear."""
         for guard in self.guards:
             guard.quiet_since = now
@@ -406,7 +408,7 @@
             if history.judge(report.step if report else None) is Verdict.FROZEN:
                 self._give_up()
                 return
-            self.take_report(report)
+            self.update_report(report)
             if history.stalled_probes == 0:
                 self._spare(still)
                 return
--- a/passtally/host_news.py
+++ b/passtally/load_exchange.py
@@ -18,9 +18,9 @@
 from passtally.roster import Roster
 
 #: How long changes are gathered before they are told, where few hosts are told.
-TELL_INTERVAL = timedelta(milliseconds=20)
+SEND_INTERVAL = timedelta(milliseconds=20)
 #: Each host to be told makes the interval longer, so that the cost is bounded.
-TELL_PER_HOST = timedelta(milliseconds=4)
+SEND_INTERVAL_PER_HOST = timedelta(milliseconds=4)
 #: Loads that did not change are told again this often, for peers that missed them.
 REPEAT_INTERVAL = timedelta(seconds=2)
 #: Hosts that could not be told, or have just come, are told this soon: until then they
@@ -32,16 +32,16 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Heard:
+class _HostLoads:
     loads_by_endpoint: Mapping[str, TokenLoad]
-    heard_at: timedelta
+    received_at: timedelta
 
 
-class LoadBoard:
+class LoadTable:
     """What the other hosts' runs take at endpoints. Pure."""
 
     def __init__(self) -> None:
-        self._heard_by_host: dict[str, _Heard] = {}
+        self._heard_by_host: dict[str, _HostLoads] = {}
         self._totals_by_start: dict[EndpointStart, TokenLoad] = {}
 
     def take(
@@ -52,8 +52,8 @@
         now: timedelta,
     ) -> None:
         """Take in one host's loads."""
-        self._heard_by_host[host_id] = _Heard(
-            loads_by_endpoint=loads_by_endpoint, heard_at=now
+        self._heard_by_host[host_id] = _HostLoads(
+            loads_by_endpoint=loads_by_endpoint, received_at=now
         )
         self._sum()
 
@@ -62,7 +62,7 @@
         old = [
             host_id
             for host_id, heard in self._heard_by_host.items()
-            if now - heard.heard_at > FORGET_AFTER
+            if now - heard.received_at > FORGET_AFTER
         ]
         for host_id in old:
             del self._heard_by_host[host_id]
@@ -89,12 +89,12 @@
                 )
 
 
-class NewsExchange:
+class LoadExchange:
     """Tells and hears news.
 
     Args:
         host_id: This host's name.
-        board: Where the others' loads go.
+        load_table: Where the others' loads go.
         fleet: The endpoints.
         peers: The links.
         roster: Who is there.
@@ -106,7 +106,7 @@
         self,
         *,
         host_id: str,
-        board: LoadBoard,
+        load_table: LoadTable,
         fleet: Fleet,
         peers: Peers,
         roster: Roster,
@@ -114,7 +114,7 @@
         on_lost: Callable[[EndpointStart], None],
     ) -> None:
         self.host_id = host_id
-        self._board = board
+        self._load_table = load_table
         self._fleet = fleet
         self._peers = peers
         self._roster = roster
@@ -126,16 +126,18 @@
         #: The hosts that were told the loads as they are now.
         self._told_ids: set[str] = set()
         self._is_first = True
-        peers.listen(HostNews, self._hear)
+        peers.listen(HostNews, self._receive)
 
     async def run(self) -> None:
         """Tell changes, for ever."""
         while True:
             await self._wait_for_change()
             host_ids = self._audience()
-            await self._clock.sleep(max(TELL_INTERVAL, len(host_ids) * TELL_PER_HOST))
-            self._board.forget_old(self._clock.monotonic())
-            await self._tell(host_ids)
+            await self._clock.sleep(
+                max(SEND_INTERVAL, len(host_ids) * SEND_INTERVAL_PER_HOST)
+            )
+            self._load_table.forget_old(self._clock.monotonic())
+            await self._send_updates(host_ids)
 
     async def _wait_for_change(self) -> None:
         try:
@@ -149,9 +151,9 @@
     def _audience(self) -> list[str]:
         return [row.host_id for row in self._roster.linked()]
 
-    async def _tell(self, host_ids: list[str]) -> None:
+    async def _send_updates(self, host_ids: list[str]) -> None:
         loads = self._fleet.loads_by_endpoint()
-        lost = self._fleet.take_losses()
+        lost = self._fleet.pop_losses()
         now = self._clock.monotonic()
         limits = self._fleet.limits.rows(now=now)
         rates = {(row.endpoint_id, row.incarnation): row.rate for row in limits}
@@ -169,13 +171,13 @@
                 is_first=self._is_first,
                 limits=limits,
             )
-            told = await self._peers.tell(missing, news)
+            told = await self._peers.send_message(missing, news)
             self._told_ids |= told
             self._is_first = self._is_first and not told
 
-    def _hear(self, news: HostNews) -> None:
+    def _receive(self, news: HostNews) -> None:
         now = self._clock.monotonic()
-        self._board.take(news.host_id, news.loads_by_endpoint, now=now)
+        self._load_table.take(news.host_id, news.loads_by_endpoint, now=now)
         if self._fleet.limits.merge(news.limits, now=now):
             self._fleet.load_changed.set()
         if news.is_first:
--- a/passtally/member_table.py
+++ b/passtally/member_table.py
@@ -26,7 +26,7 @@
 FORGET_AFTER = timedelta(minutes=5)
 #: Each change is told so many times by each host, times the logarithm of their number:
 #: 16 times among 195.
-TOLD_PER_LOG = 2
+SENDS_PER_LOG = 2
 
 
 class MemberState(IntEnum):
@@ -34,7 +34,7 @@
 
     ALIVE = 0
     SUSPECT = 1
-    GONE = 2
+    DEAD = 2
 
 
 @attrs.define(kw_only=True)
@@ -43,12 +43,12 @@
 
     Attributes:
         row: The newest row.
-        heard_at: When the host itself, or a change, was heard of last.
+        last_contact_at: When the host itself, or a change, was heard of last.
         state_since: Since when it is in its state.
     """
 
     row: MemberRow
-    heard_at: timedelta
+    last_contact_at: timedelta
     state_since: timedelta
 
 
@@ -61,7 +61,7 @@
         failure_domain: Where it stands.
         config_version: The configuration version in force there, as last heard.
         leaving: Whether it is stopping.
-        heard_ago: How long ago it was heard of; None if never.
+        since_contact: How long ago it was heard of; None if never.
         alive: Whether it is in reach.
     """
 
@@ -69,7 +69,7 @@
     failure_domain: str
     config_version: int
     leaving: bool
-    heard_ago: timedelta | None
+    since_contact: timedelta | None
     alive: bool
 
 
@@ -151,10 +151,10 @@
             if known is not None:
                 counter = max(own.counter, known.row.counter + 1)
                 own = msgspec.structs.replace(own, counter=counter)
-            gone = msgspec.structs.replace(
-                before, counter=before.counter + 1, state=MemberState.GONE
+            dead = msgspec.structs.replace(
+                before, counter=before.counter + 1, state=MemberState.DEAD
             )
-            self._put(gone, now)
+            self._put(dead, now)
         self.own = own
         self._told_by_id[own.host_id] = 0
         self.revision += 1
@@ -163,15 +163,15 @@
         """Take in rows from a peer; older ones change nothing."""
         for row in rows:
             if row.host_id == self.own.host_id:
-                self._contradict(row)
+                self._refute(row)
             else:
                 self._merge_other(row, now)
 
-    def note_heard(self, host_id: str, now: timedelta) -> None:
+    def record_contact(self, host_id: str, now: timedelta) -> None:
         """Take in that a host itself was heard."""
         known = self._known_by_id.get(host_id)
         if known is not None:
-            known.heard_at = now
+            known.last_contact_at = now
 
     def suspect(self, host_id: str, now: timedelta) -> None:
         """Take in that a host did not answer."""
@@ -185,25 +185,25 @@
             known = self._known_by_id[host_id]
             lasted = now - known.state_since
             if known.row.state == MemberState.SUSPECT and lasted >= self._suspect_for:
-                self._change(known.row, MemberState.GONE, now)
-            elif known.row.state == MemberState.GONE and lasted >= FORGET_AFTER:
+                self._change(known.row, MemberState.DEAD, now)
+            elif known.row.state == MemberState.DEAD and lasted >= FORGET_AFTER:
                 del self._known_by_id[host_id]
                 self._failing_ids.discard(host_id)
                 self._told_by_id.pop(host_id, None)
                 self.revision += 1
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether changes are still to be told."""
         return bool(self._told_by_id)
 
-    def take_news(self, most: int) -> list[MemberRow]:
+    def pop_updates(self, most: int) -> list[MemberRow]:
         """Return changes to tell, those told least first, and count them as told.
 
         Args:
             most: How many at the most.
         """
-        limit = TOLD_PER_LOG * math.ceil(math.log2(len(self._known_by_id) + 2))
+        limit = SENDS_PER_LOG * math.ceil(math.log2(len(self._known_by_id) + 2))
         chosen = sorted(self._told_by_id, key=self._told_by_id.__getitem__)[:most]
         rows = [row for name in chosen if (row := self.find(name)) is not None]
         for name in chosen:
@@ -224,21 +224,21 @@
         known = self._known_by_id.get(host_id)
         return known.row if known is not None else None
 
-    def count_in_reach(self) -> int:
+    def count_reachable(self) -> int:
         """Return how many other hosts are in reach."""
-        return len(self._known_by_id) - len(self.gone())
+        return len(self._known_by_id) - len(self.dead())
 
-    def in_reach(self) -> list[MemberRow]:
+    def reachable(self) -> list[MemberRow]:
         """Return the rows of the other hosts that are in reach."""
         rows = [known.row for known in self._known_by_id.values()]
         if not self._failing_ids:
             return rows
-        return [row for row in rows if row.state != MemberState.GONE]
+        return [row for row in rows if row.state != MemberState.DEAD]
 
-    def gone(self) -> list[MemberRow]:
+    def dead(self) -> list[MemberRow]:
         """Return the rows of the hosts that were found gone not long ago."""
         rows = [self._known_by_id[host_id].row for host_id in self._failing_ids]
-        return [row for row in rows if row.state == MemberState.GONE]
+        return [row for row in rows if row.state == MemberState.DEAD]
 
     def views(self, names: Collection[str], now: timedelta) -> list[MemberView]:
         """Return what is known of the hosts named and of all others heard of."""
@@ -248,7 +248,7 @@
     def newest_config(self) -> tuple[str, int]:
         """Return the host in reach with the highest configuration version."""
         best = ("", 0)
-        for row in self.in_reach():
+        for row in self.reachable():
             if row.config_version > best[1]:
                 best = (row.host_id, row.config_version)
         return best
@@ -259,7 +259,7 @@
             self._put(row, now)
         elif (row.counter, row.state) > (known.row.counter, known.row.state):
             is_sudden = (
-                row.state == MemberState.GONE
+                row.state == MemberState.DEAD
                 and row.counter == known.row.counter
                 and known.row.state == MemberState.ALIVE
             )
@@ -271,16 +271,18 @@
             known.row = _with_newest_versions(known.row, row)
 
     def _put(self, row: MemberRow, now: timedelta) -> None:
-        self._known_by_id[row.host_id] = _Known(row=row, heard_at=now, state_since=now)
-        self._note_state(row)
+        self._known_by_id[row.host_id] = _Known(
+            row=row, last_contact_at=now, state_since=now
+        )
+        self._record_state(row)
 
     def _change(self, row: MemberRow, state: MemberState, now: timedelta) -> None:
         known = self._known_by_id[row.host_id]
         known.row = msgspec.structs.replace(row, state=state)
         known.state_since = now
-        self._note_state(known.row)
+        self._record_state(known.row)
 
-    def _note_state(self, row: MemberRow) -> None:
+    def _record_state(self, row: MemberRow) -> None:
         """Take in that a host has a new row, which is to be told."""
         if row.state == MemberState.ALIVE:
             self._failing_ids.discard(row.host_id)
@@ -289,7 +291,7 @@
         self._told_by_id[row.host_id] = 0
         self.revision += 1
 
-    def _contradict(self, row: MemberRow) -> None:
+    def _refute(self, row: MemberRow) -> None:
         """Outrun word of this host that is not its own: of a past life, or wrong."""
         is_other_life = row.counter > self.own.counter
         is_wrong = row.counter == self.own.counter and row.state != MemberState.ALIVE
@@ -305,7 +307,7 @@
                 failure_domain="",
                 config_version=0,
                 leaving=False,
-                heard_ago=None,
+                since_contact=None,
                 alive=False,
             )
         return MemberView(
@@ -313,8 +315,8 @@
             failure_domain=known.row.failure_domain,
             config_version=known.row.config_version,
             leaving=known.row.leaving,
-            heard_ago=now - known.heard_at,
-            alive=known.row.state != MemberState.GONE,
+            since_contact=now - known.last_contact_at,
+            alive=known.row.state != MemberState.DEAD,
         )
 
 
@@ -331,7 +333,7 @@
     )
 
 
-def pick_found_gone(rows: Sequence[MemberRow], alive: Sequence[MemberRow]) -> list:
+def pick_dead_hosts(rows: Sequence[MemberRow], alive: Sequence[MemberRow]) -> list:
     """Return one host that is gone for each failure domain without one in reach.
 
     They are asked now and then, so that the end of a long cut is seen.
--- a/passtally/membership.py
+++ b/passtally/membership.py
@@ -21,7 +21,7 @@
 
 GOSSIP_INTERVAL = timedelta(seconds=1)
 #: The same while there are changes to tell: all of 195 hosts know of one within 2 s.
-NEWS_INTERVAL = timedelta(milliseconds=300)
+UPDATE_INTERVAL = timedelta(milliseconds=300)
 #: Peers asked in each interval.
 FANOUT = 2
 #: Among so many hosts those of the own failure domain are asked first: bytes between
@@ -34,7 +34,7 @@
 #: one in 5,000 questions ends in a wrong suspicion, and each is told to all hosts.
 TRIES = 3
 #: The most changes told in one message, some 2.5 KB.
-NEWS_ROWS = 30
+UPDATE_ROWS = 30
 #: Rows of others sent along where there are few changes, for hosts that missed some.
 FILL_ROWS = 3
 #: The most rows sent to a host that knows few: all of a fleet of the target's size,
@@ -48,14 +48,14 @@
 FEW = 3
 
 
-class DepartureNews(Protocol):
+class DepartureUpdates(Protocol):
     """The departures that are spread along."""
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether peers have hardly been told of some departure."""
 
-    def take_rows(self) -> list[DepartureRow]:
+    def pop_updates(self) -> list[DepartureRow]:
         """Return some to tell, and count them as told."""
 
     def merge(self, rows: Sequence[DepartureRow]) -> None:
@@ -80,7 +80,7 @@
         peers: Peers,
         clock: Clock,
         rng: random.Random,
-        departures: DepartureNews,
+        departures: DepartureUpdates,
     ) -> None:
         self.table = table
         self._departures = departures
@@ -106,17 +106,17 @@
         try:
             while True:
                 await self._clock.sleep(self._interval())
-                await self.tell()
+                await self.run_round()
         finally:
             for task in list(self._asked.values()):
                 task.cancel()
 
     def _interval(self) -> timedelta:
-        has_news = self.table.has_news or self._departures.has_news
-        is_urgent = has_news or self.seeks_versions()
-        return NEWS_INTERVAL if is_urgent else GOSSIP_INTERVAL
+        has_updates = self.table.has_updates or self._departures.has_updates
+        is_urgent = has_updates or self.seeks_versions()
+        return UPDATE_INTERVAL if is_urgent else GOSSIP_INTERVAL
 
-    async def tell(self) -> None:
+    async def run_round(self) -> None:
         """Ask a few random peers, and tell them what has changed.
 
         Waits for their answers, but not long for one that does not come: the others
@@ -134,7 +134,7 @@
             task.add_done_callback(lambda _, name=host_id: self._asked.pop(name))
         await asyncio.wait(
             [self._asked[host_id] for host_id in chosen],
-            timeout=NEWS_INTERVAL.total_seconds(),
+            timeout=UPDATE_INTERVAL.total_seconds(),
         )
 
     def views(self) -> list[MemberView]:
@@ -174,14 +174,14 @@
         Args:
             first: Rows to be told in any case.
         """
-        news = self.table.take_news(NEWS_ROWS)
+        news = self.table.pop_updates(UPDATE_ROWS)
         fill = self.table.sample(max(0, FILL_ROWS - len(news)), self._rng)
         rows_by_id = {row.host_id: row for row in (*first, *news, *fill)}
         rows_by_id.pop(self.table.own.host_id, None)
         return Hello(
             rows=[self.table.own, *rows_by_id.values()],
-            departures=self._departures.take_rows(),
-            known=self.table.count_in_reach(),
+            departures=self._departures.pop_updates(),
+            known=self.table.count_reachable(),
         )
 
     async def _answer(self, message: Hello) -> Hello:
@@ -195,7 +195,7 @@
 
     def _should_tell_all(self, message: Hello) -> bool:
         """Return whether the asker knows few hosts, and its turn has come."""
-        if 2 * message.known >= self.table.count_in_reach():
+        if 2 * message.known >= self.table.count_reachable():
             return False
         is_near = message.rows[0].failure_domain == self.table.own.failure_domain
         if not is_near and message.known > FEW:
@@ -213,7 +213,7 @@
     def _merge(self, message: Hello) -> None:
         now = self._clock.monotonic()
         self.table.merge(message.rows, now)
-        self.table.note_heard(message.rows[0].host_id, now)
+        self.table.record_contact(message.rows[0].host_id, now)
         self._departures.merge(message.departures)
 
 
@@ -233,7 +233,7 @@
     """
     near = [host_id for host_id in host_ids if _is_near(table, host_id)]
     far = [host_id for host_id in host_ids if not _is_near(table, host_id)]
-    if table.count_in_reach() < MANY or not near:
+    if table.count_reachable() < MANY or not near:
         near, far = list(host_ids), []
     chosen = rng.sample(near, min(FANOUT, len(near)))
     if far and rng.random() < far_part:
--- a/passtally/object_intake.py
+++ b/passtally/object_applier.py
@@ -5,23 +5,23 @@
 
 from passtally.adapter import Adapter
 from passtally.decision import log_event
-from passtally.endpoint_book import EndpointBook
+from passtally.endpoint_registry import EndpointRegistry
 from passtally.object_store import StoredObject
 from passtally.objects import Service, ServiceKind
 from passtally.rollouts import Rollouts
-from passtally.routes import RoutesInForce
+from passtally.routes import ActiveRoutes
 from passtally.service_index import ServiceIndex
 from passtally.store_order import era_of
 
 
-class ObjectIntake:
+class ObjectApplier:
     """Puts objects that changed in force. One that can't be read changes no other.
 
     Args:
         adapter: Reads the objects.
         routes: The routes in force.
         catalog: The services and endpoints.
-        book: The endpoints that registered themselves.
+        registry: The endpoints that registered themselves.
         rollouts: The orders of new versions; None where they are not followed.
         learned: Set once the routes and some endpoints are known.
         routes_changed: Called with the version of routes that are newly in force.
@@ -31,9 +31,9 @@
         self,
         *,
         adapter: Adapter,
-        routes: RoutesInForce,
+        routes: ActiveRoutes,
         catalog: ServiceIndex,
-        book: EndpointBook,
+        registry: EndpointRegistry,
         rollouts: Rollouts | None,
         learned: asyncio.Event,
         routes_changed: Callable[[int], None],
@@ -41,12 +41,12 @@
         self._adapter = adapter
         self._routes = routes
         self._catalog = catalog
-        self._book = book
+        self._registry = registry
         self.rollouts = rollouts
         self._learned = learned
         self._routes_changed = routes_changed
 
-    def take_routes(self, changed: Sequence[StoredObject]) -> None:
+    def apply_routes(self, changed: Sequence[StoredObject]) -> None:
         """Put the newest routes in force."""
         for stored in changed:
             try:
@@ -64,24 +64,24 @@
                 )
             self._routes_changed(routes.version)
             log_event("config", "In force.", version=routes.version)
-            self._note_learned()
+            self._record_learned()
 
-    def take_endpoints(self, changed: Sequence[StoredObject]) -> None:
+    def apply_endpoints(self, changed: Sequence[StoredObject]) -> None:
         """Take in endpoints that came, changed or went."""
         newest = max((stored.version for stored in changed), default=0)
-        self._book.note_era(era_of(newest))
+        self._registry.record_era(era_of(newest))
         for stored in changed:
             endpoint_id = stored.key.removeprefix(self._adapter.endpoints_prefix)
             if stored.is_removed:
-                self._book.remove([endpoint_id])
+                self._registry.remove([endpoint_id])
                 continue
             try:
-                self._book.put(self._adapter.decode_endpoint(stored))
+                self._registry.put(self._adapter.decode_endpoint(stored))
             except ValueError as error:
-                self._book.withhold(endpoint_id, reason=str(error))
-        self._note_learned()
+                self._registry.put_unreadable(endpoint_id, reason=str(error))
+        self._record_learned()
 
-    def take_rollouts(self, changed: Sequence[StoredObject]) -> None:
+    def apply_rollouts(self, changed: Sequence[StoredObject]) -> None:
         """Take in orders of new versions, and what was recorded of them."""
         for stored in changed:
             name = stored.key.removeprefix(self._adapter.rollouts_prefix)
@@ -93,6 +93,6 @@
             except ValueError as error:
                 log_event("rollout", "Ignored a broken order.", service=name, why=error)
 
-    def _note_learned(self) -> None:
+    def _record_learned(self) -> None:
         if self._routes.current is not None and self._catalog.endpoints_by_id:
             self._learned.set()
--- a/passtally/orders.py
+++ b/passtally/orders.py
@@ -52,7 +52,7 @@
 class Orders(Protocol):
     """The way to an endpoint's orders."""
 
-    async def give(
+    async def send_order(
         self,
         endpoint: Endpoint,
         *,
@@ -78,7 +78,7 @@
     def __init__(self, *, session: aiohttp.ClientSession) -> None:
         self._session = session
 
-    async def give(
+    async def send_order(
         self,
         endpoint: Endpoint,
         *,
--- a/passtally/overload.py
+++ b/passtally/overload.py
@@ -21,7 +21,7 @@
 #: overloaded, so that to take them back at once would lose them again.
 HOLD = timedelta(seconds=10)
 #: How long it lasts at most while timers are late, as where others take the processor.
-LONGEST_HOLD = timedelta(seconds=60)
+MAX_HOLD = timedelta(seconds=60)
 LATE_TIMER = timedelta(milliseconds=10)
 TIMERS_KEPT = 8
 
@@ -40,11 +40,11 @@
     _late: deque[timedelta] = attrs.field(factory=lambda: deque(maxlen=TIMERS_KEPT))
 
     @property
-    def is_on(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether callers are to be sent elsewhere."""
         return self.began_at is not None
 
-    def note_connection(self, waited: timedelta, *, now: timedelta) -> None:
+    def record_connection(self, waited: timedelta, *, now: timedelta) -> None:
         """Take in how long a caller's connection had waited.
 
         Args:
@@ -58,10 +58,10 @@
             self._waits_since = None
         elif self._waits_since is None:
             self._waits_since = now
-        elif now - self._waits_since >= WAIT_INTERVAL and not self.is_on:
+        elif now - self._waits_since >= WAIT_INTERVAL and not self.is_overloaded:
             self.began_at = now
 
-    def note_timer(self, late: timedelta, *, now: timedelta) -> None:
+    def record_timer(self, late: timedelta, *, now: timedelta) -> None:
         """Take in how late a timer of this host was.
 
         Args:
@@ -73,5 +73,5 @@
             return
         lasted = now - self.began_at
         is_late = median(self._late) >= LATE_TIMER
-        if lasted >= (LONGEST_HOLD if is_late else HOLD):
+        if lasted >= (MAX_HOLD if is_late else HOLD):
             self.began_at = self._waits_since = None
--- a/passtally/fair_timeout.py
+++ b/passtally/pause_aware_timeout.py
@@ -23,7 +23,7 @@
 CLOCK_INTERVAL = timedelta(milliseconds=250)
 
 
-class FairTimeout:
+class PauseAwareTimeout:
     """An :func:`asyncio.timeout` that ends after a last look where its timer is late.
 
     Raises a TimeoutError at its end, as that does.
@@ -41,7 +41,7 @@
         self._due_at = timedelta(0)
         self._timer: asyncio.TimerHandle | None = None
 
-    async def __aenter__(self) -> "FairTimeout":
+    async def __aenter__(self) -> "PauseAwareTimeout":
         await self._scope.__aenter__()
         self._arm(self._limit)
         return self
@@ -85,7 +85,7 @@
             self.expire()
 
 
-async def sleep_fairly(duration: timedelta, *, clock: Clock) -> None:
+async def sleep_pause_aware(duration: timedelta, *, clock: Clock) -> None:
     """Sleep, and where this host then wakes late, until it has looked at what came.
 
     Args:
--- a/passtally/peers.py
+++ b/passtally/peers.py
@@ -192,7 +192,7 @@
         except zmq.ZMQError as error:
             log_event("peers", "Not let go.", listen=address, why=error)
 
-    def meet(self, peer: PeerAddress) -> None:
+    def add_peer(self, peer: PeerAddress) -> None:
         """Open a link to a peer that was not known, or whose address changed.
 
         Raises:
@@ -201,12 +201,12 @@
         known = self._peers_by_id.get(peer.host_id)
         if peer == known:
             return
-        self.forget(peer.host_id)
+        self.remove_peer(peer.host_id)
         # A peer counts as known only with a link: the next try opens what is missing.
         self._connect(peer)
         self._peers_by_id[peer.host_id] = peer
 
-    def forget(self, host_id: str) -> None:
+    def remove_peer(self, host_id: str) -> None:
         """Close the link to a peer."""
         if self._peers_by_id.pop(host_id, None) is None:
             return
@@ -218,7 +218,7 @@
         peers = self._peers_by_id.values()
         return [peer.host_id for peer in peers if peer.address == address]
 
-    async def is_in_reach(self, host_id: str) -> bool:
+    async def is_reachable(self, host_id: str) -> bool:
         """Return whether the link to a peer is up: its heartbeats are answered."""
         socket = self._sockets_by_id.get(host_id)
         return socket is not None and bool(await socket.poll(0, zmq.POLLOUT))
@@ -230,7 +230,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._context.destroy(linger=0)
 
-    async def tell(self, host_ids: Sequence[str], message: Message) -> set[str]:
+    async def send_message(self, host_ids: Sequence[str], message: Message) -> set[str]:
         """Send a message that needs no answer; it may be lost.
 
         Returns:
@@ -331,13 +331,13 @@
             return
         message = self._read(frames[1:])
         if frames[1] == _TELL:
-            self._hear(message)
+            self._receive(message)
             return
         answerer = self._answerers_by_type.get(type(message))
         if answerer is not None:
             self._spawn(self._answer(router, frames, answerer, message))
 
-    def _hear(self, message: Message | None) -> None:
+    def _receive(self, message: Message | None) -> None:
         listener = self._listeners_by_type.get(type(message))
         if listener is not None:
             listener(message)
--- a/passtally/placement.py
+++ b/passtally/placement.py
@@ -10,8 +10,8 @@
 from passtally.generation import Generation
 from passtally.prefix_finder import PrefixFinder
 from passtally.relay import (
-    count_held_tokens,
-    count_reading_tokens,
+    count_kv_tokens,
+    count_prefill_tokens,
     count_resume_tokens,
 )
 from passtally.routing import (
@@ -123,7 +123,7 @@
         if patience <= timedelta(0):
             return False
         service = generation.request.service
-        return bool(generation.delivered) or self._fleet.may_take_within(
+        return bool(generation.delivered) or self._fleet.may_accept_within(
             service, patience
         )
 
@@ -134,11 +134,11 @@
         versions = self._fleet.versions
         service = generation.request.service
         is_new = not generation.attempts and not generation.delivered
-        if not is_new or not versions.take_trial(service):
+        if not is_new or not versions.acquire_trial(service):
             return None
         decision = self._decide(generation, excluded, is_trial=True)
         if decision.endpoint_id is None:
-            versions.give_back(service)
+            versions.release(service)
             return None
         return await self._survey_and_log(generation, decision)
 
@@ -190,8 +190,8 @@
                 failure_domain=request.failure_domain or self._failure_domain,
                 exclude=excluded,
                 resume_tokens=count_resume_tokens(generation),
-                tokens=count_held_tokens(generation),
-                prompt_tokens=count_reading_tokens(generation),
+                tokens=count_kv_tokens(generation),
+                prompt_tokens=count_prefill_tokens(generation),
                 suspect=request.fingerprint if is_suspect else b"",
             ),
             self._fleet.views(request.service, is_trial=is_trial),
@@ -203,7 +203,7 @@
     ) -> str:
         ranked = decision.ranked or (decision.endpoint_id,)
         found = await self._survey.choose(ranked)
-        asked = [f"{name}:{n}" for name, n in found.unread_by_id.items()]
+        asked = [f"{name}:{n}" for name, n in found.waiting_by_id.items()]
         self._log(generation, found.endpoint_id, decision, asked=asked)
         return found.endpoint_id
 
@@ -230,9 +230,9 @@
         if request.deadline is None:
             return
         left = request.deadline - self._clock.monotonic()
-        needed = self.forecast.least_time(
+        needed = self.forecast.min_time(
             request.service,
-            tokens=count_reading_tokens(generation),
+            tokens=count_prefill_tokens(generation),
             position=generation.position,
         )
         if left < needed:
@@ -246,9 +246,9 @@
         request = generation.request
         if request.target is None or generation.delivered or generation.attempts:
             return
-        ahead = self._fleet.view(endpoint_id).reading_tokens
-        tokens = ahead + count_reading_tokens(generation)
-        needed = self.forecast.reading_time(request.service, tokens)
+        ahead = self._fleet.view(endpoint_id).prefill_tokens
+        tokens = ahead + count_prefill_tokens(generation)
+        needed = self.forecast.prefill_time(request.service, tokens)
         if needed > request.target:
             raise NoPlaceError(f"its first output would take {needed} at least")
 
--- a/passtally/plain.py
+++ b/passtally/plain.py
@@ -12,14 +12,14 @@
 from passtally.crash_guard import CrashGuard
 from passtally.decision import log_decision
 from passtally.engine import AttemptLostError
-from passtally.fair_timeout import FairTimeout, sleep_fairly
 from passtally.fleet import Fleet
 from passtally.live_endpoint import LiveEndpoint
 from passtally.objects import Service
 from passtally.outcome import Code, Outcome, RefusedError, refuse
+from passtally.pause_aware_timeout import PauseAwareTimeout, sleep_pause_aware
 from passtally.quarantine import Quarantine
 from passtally.retry import UNRUN_KINDS, LossKind
-from passtally.retry_budget import Budgets, take_repeat, wait_for_repeat
+from passtally.retry_budget import Budgets, acquire_retry, wait_for_retry
 from passtally.routing import RouteDecision, RouteQuery, choose_endpoint
 
 CALL_TIMEOUT = timedelta(seconds=30)
@@ -40,7 +40,7 @@
 #: failed. Not 503 or 504: it may be full, or the call's own time too short.
 FAULT_STATUSES = frozenset((500, 502))
 #: Losses that count like such answers. Calls without an answer are counted apart.
-FAULT_KINDS = frozenset((LossKind.RESET, LossKind.SEAM))
+FAULT_KINDS = frozenset((LossKind.RESET, LossKind.RESUME_MISMATCH))
 
 
 @attrs.frozen(kw_only=True)
@@ -113,14 +113,14 @@
         sends_left: How many endpoints it may still be sent to.
         connects_left: How many endpoints may still take no connection.
         excluded: The endpoints that lost it.
-        has_repeat: Whether the repeat for its next send is taken already.
+        has_retry: Whether the repeat for its next send is taken already.
         must_connect: Whether its next sends are to go on new connections.
     """
 
     sends_left: int
     connects_left: int = MAX_CONNECTS
     excluded: set[str] = attrs.field(factory=set)
-    has_repeat: bool = False
+    has_retry: bool = False
     must_connect: bool = False
 
 
@@ -201,7 +201,7 @@
                 tries.connects_left -= is_unsent
                 tries.sends_left -= not is_unsent
             is_over = not tries.sends_left or not tries.connects_left
-            if is_over or not await self._may_repeat(call, failure, tries):
+            if is_over or not await self._may_retry(call, failure, tries):
                 break
             call = attrs.evolve(call, must_connect=tries.must_connect)
             endpoint_id = self._route(call, tries.excluded)
@@ -209,7 +209,7 @@
 
     def _tell_when(self, failure: RefusedError | None, service: str) -> RefusedError:
         """Return the failure to report; of one that did not run, when to come back."""
-        retry_after = self._fleet.wait_for_room(service) or RETRY_AFTER
+        retry_after = self._fleet.time_until_capacity(service) or RETRY_AFTER
         if failure is None:
             return refuse(
                 Code.NO_ENDPOINT,
@@ -223,7 +223,7 @@
             failure.failure = attrs.evolve(failure.failure, retry_after=retry_after)
         return failure
 
-    async def _may_repeat(
+    async def _may_retry(
         self, call: PlainCall, failure: RefusedError, tries: _Tries
     ) -> bool:
         if self._guard.remaining(call.fingerprint) is not None:
@@ -235,13 +235,13 @@
             return False
         if failure.failure.step == UNSENT_STEP:
             return True
-        if tries.has_repeat:
-            tries.has_repeat = False
+        if tries.has_retry:
+            tries.has_retry = False
             return True
-        return await self._take_repeat(call)
+        return await self._acquire_retry(call)
 
-    async def _take_repeat(self, call: PlainCall) -> bool:
-        return await take_repeat(
+    async def _acquire_retry(self, call: PlainCall) -> bool:
+        return await acquire_retry(
             self._budgets, call.workspace, service=call.service.id, is_resume=False
         )
 
@@ -263,11 +263,11 @@
     def _route_first(self, call: PlainCall) -> str | None:
         """Choose the first endpoint; some requests try a new version."""
         versions = self._fleet.versions
-        if versions.take_trial(call.service.id):
+        if versions.acquire_trial(call.service.id):
             endpoint_id = self._route(call, set(), is_trial=True)
             if endpoint_id is not None:
                 return endpoint_id
-            versions.give_back(call.service.id)
+            versions.release(call.service.id)
         return self._route(call, set())
 
     def _route(
@@ -305,23 +305,23 @@
         try:
             # Fair: what an endpoint has answered while this host did not run lies here
             # unread, and may not be asked for again.
-            async with FairTimeout(limit, clock=self._clock) as scope:
+            async with PauseAwareTimeout(limit, clock=self._clock) as scope:
                 if tries.sends_left > 1 and call.repeatable and call.patience:
                     work = self._lose_patience(call, endpoint_id, tries, scope)
                     losing = asyncio.create_task(work)
                 answer = await self._sender.send(call, live, before_send=before_send)
         except AttemptLostError as loss:
-            raise await self._take_loss(call, live, loss, began=began) from loss
+            raise await self._handle_loss(call, live, loss, began=began) from loss
         except TimeoutError as error:
             loss = lost_call(LossKind.FROZEN, live, error)
-            raise await self._take_loss(call, live, loss, began=began) from error
+            raise await self._handle_loss(call, live, loss, began=began) from error
         finally:
             live.leave()
             if losing is not None:
                 losing.cancel()
-        self._guard.note_good(call.fingerprint)
-        self._fleet.note_call(live, is_fault=answer.status in FAULT_STATUSES)
-        self._fleet.versions.note_answer(
+        self._guard.record_success(call.fingerprint)
+        self._fleet.record_call(live, is_fault=answer.status in FAULT_STATUSES)
+        self._fleet.versions.record_answer(
             live.endpoint,
             route=call.route,
             answers=1,
@@ -331,7 +331,7 @@
         return answer
 
     async def _lose_patience(
-        self, call: PlainCall, endpoint_id: str, tries: _Tries, scope: FairTimeout
+        self, call: PlainCall, endpoint_id: str, tries: _Tries, scope: PauseAwareTimeout
     ) -> None:
         """Take a call from a slow endpoint once it can go on elsewhere.
 
@@ -342,14 +342,14 @@
 
         async def take() -> bool:
             has_other = self._choose(call, excluded).endpoint_id is not None
-            return has_other and await self._take_repeat(call)
+            return has_other and await self._acquire_retry(call)
 
-        await sleep_fairly(call.patience, clock=self._clock)
-        await wait_for_repeat(take, clock=self._clock)
-        tries.has_repeat = tries.must_connect = True
+        await sleep_pause_aware(call.patience, clock=self._clock)
+        await wait_for_retry(take, clock=self._clock)
+        tries.has_retry = tries.must_connect = True
         scope.expire()
 
-    async def _take_loss(
+    async def _handle_loss(
         self,
         call: PlainCall,
         live: LiveEndpoint,
@@ -360,13 +360,13 @@
         is_frozen = loss.kind is LossKind.FROZEN
         live.unanswered_calls += is_frozen
         if loss.kind in FAULT_KINDS:
-            self._fleet.note_call(live, is_fault=True)
-        is_gone = loss.kind is LossKind.UNREACHABLE
+            self._fleet.record_call(live, is_fault=True)
+        is_endpoint_unreachable = loss.kind is LossKind.UNREACHABLE
         if loss.kind is LossKind.REPLACED:
-            live.note_ended()
+            live.record_ended()
         if loss.kind is LossKind.RESET and self._fleet.is_serving(live):
-            await self._note_end(call, live, began)
-        if is_gone or live.unanswered_calls >= MAX_UNANSWERED:
+            await self._record_end(call, live, began)
+        if is_endpoint_unreachable or live.unanswered_calls >= MAX_UNANSWERED:
             live.eject(self._clock.monotonic())
         log_decision(
             "retry",
@@ -379,18 +379,18 @@
         )
         if loss.kind in UNRUN_KINDS:
             return _not_sent(loss)
-        self._fleet.versions.note_answer(
+        self._fleet.versions.record_answer(
             live.endpoint, route=call.route, answers=1, failures=1
         )
         return _maybe_run(loss)
 
-    async def _note_end(
+    async def _record_end(
         self, call: PlainCall, live: LiveEndpoint, began: timedelta
     ) -> None:
         """Look whether an endpoint that reset a call has ended under it."""
         if await self._guard.has_ended(live):
-            self._fleet.note_end(live)
-            self._guard.note_end(call.fingerprint, live, began_at=began)
+            self._fleet.record_end(live)
+            self._guard.record_end(call.fingerprint, live, began_at=began)
 
 
 def _worse(known: RefusedError | None, new: RefusedError) -> RefusedError:
--- a/passtally/platform/adapter.py
+++ b/passtally/platform/adapter.py
@@ -4,7 +4,7 @@
 
 from passtally.clock import Clock
 from passtally.connection_pool import ConnectionPool
-from passtally.endpoint_words import AnswerNotes
+from passtally.endpoint_directives import DirectiveRecorder
 from passtally.fetch import Fetcher
 from passtally.front import Front
 from passtally.http_server import Handle
@@ -67,7 +67,7 @@
         *,
         pool: ConnectionPool,
         clock: Clock,
-        notes: AnswerNotes,
+        recorder: DirectiveRecorder,
         find_address: Callable[[str], Address | None],
     ) -> RunnerEngine:
         """Return the client of an endpoint's engine."""
@@ -75,7 +75,7 @@
             endpoint=endpoint,
             pool=pool,
             clock=clock,
-            notes=notes,
+            recorder=recorder,
             find_address=find_address,
         )
 
@@ -84,10 +84,10 @@
         return await engine.is_engine()
 
     def make_sender(
-        self, *, pool: ConnectionPool, clock: Clock, notes: AnswerNotes
+        self, *, pool: ConnectionPool, clock: Clock, recorder: DirectiveRecorder
     ) -> RunnerSender:
         """Return what sends plain calls."""
-        return RunnerSender(pool=pool, clock=clock, notes=notes)
+        return RunnerSender(pool=pool, clock=clock, recorder=recorder)
 
     def make_handler(self, front: Front) -> Handle:
         """Return what hands callers' requests to the front."""
--- a/passtally/platform/answer_words.py
+++ b/passtally/platform/answer_directives.py
@@ -5,17 +5,17 @@
 from datetime import timedelta
 from typing import TypeVar
 
-from passtally.endpoint_words import EndpointWords, Word
+from passtally.endpoint_backoff import MAX_BACKOFF
+from passtally.endpoint_directives import Directive, EndpointDirectives
 from passtally.http_client import ResponseHead
 from passtally.platform import names
-from passtally.rests import MAX_REST
 
 T = TypeVar("T")
 
 
-def read_words(
+def read_directives(
     head: ResponseHead, *, endpoint_id: str, request_id: bytes | None = None
-) -> EndpointWords | None:
+) -> EndpointDirectives | None:
     """Return what an answer says of an endpoint; None where it is not its own word.
 
     Args:
@@ -25,14 +25,22 @@
     """
     if not _is_own_word(head, endpoint_id, request_id):
         return None
-    odd_by_word: dict[Word, str] = {}
-    return EndpointWords(
+    invalid_by_directive: dict[Directive, str] = {}
+    return EndpointDirectives(
         is_leaving=bool(
-            _read(head, Word.LEAVING, names.LEAVING, decode_leaving, odd_by_word)
+            _read(
+                head,
+                Directive.LEAVING,
+                names.LEAVING,
+                decode_leaving,
+                invalid_by_directive,
+            )
         ),
-        limit=_read(head, Word.LIMIT, names.LIMIT, decode_limit, odd_by_word),
-        rest=_read_rest(head, odd_by_word),
-        odd_by_word=odd_by_word,
+        limit=_read(
+            head, Directive.LIMIT, names.LIMIT, decode_limit, invalid_by_directive
+        ),
+        rest=_read_rest(head, invalid_by_directive),
+        invalid_by_directive=invalid_by_directive,
         unread=tuple(_find_unread(head)),
     )
 
@@ -70,14 +78,16 @@
     return decode_limit(text)
 
 
-def _read_rest(head: ResponseHead, odd_by_word: dict[Word, str]) -> timedelta | None:
+def _read_rest(
+    head: ResponseHead, invalid_by_directive: dict[Directive, str]
+) -> timedelta | None:
     """Return the rest that an endpoint asks for that turns a request away."""
     if head.status != 503:
         return None
-    seconds = _read(head, Word.REST, names.REST, decode_rest, odd_by_word)
+    seconds = _read(head, Directive.REST, names.REST, decode_rest, invalid_by_directive)
     if seconds is None:
         return None
-    return timedelta(seconds=min(seconds, MAX_REST.total_seconds()))
+    return timedelta(seconds=min(seconds, MAX_BACKOFF.total_seconds()))
 
 
 def _is_own_word(
@@ -108,10 +118,10 @@
 
 def _read(
     head: ResponseHead,
-    word: Word,
+    word: Directive,
     name: bytes,
     decode: Callable[[bytes], T],
-    odd_by_word: dict[Word, str],
+    invalid_by_directive: dict[Directive, str],
 ) -> T | None:
     """Return a header's value; one that can't be read is told apart."""
     text = head.header(name)
@@ -120,5 +130,5 @@
     try:
         return decode(text)
     except ValueError:
-        odd_by_word[word] = text.decode("latin-1")
+        invalid_by_directive[word] = text.decode("latin-1")
         return None
--- a/passtally/platform/decode.py
+++ b/passtally/platform/decode.py
@@ -157,7 +157,7 @@
         return False
 
 
-def count_unread_runs(body: bytes) -> int:
+def count_waiting_runs(body: bytes) -> int:
     """Return how many runs of an endpoint's report have no output yet.
 
     Raises:
@@ -170,7 +170,7 @@
     return report.queued + max(report.running, len(report.runs)) - with_output
 
 
-def decode_kept_parts(body: bytes) -> frozenset[str]:
+def decode_cached_parts(body: bytes) -> frozenset[str]:
     """Return the parts of prompts that an endpoint keeps, by its last cache events.
 
     Raises:
--- a/passtally/platform/ingress.py
+++ b/passtally/platform/ingress.py
@@ -66,7 +66,7 @@
     async def refuse(self, failure: Failure) -> None:
         """Answer with a refusal of this host's own."""
         if self._exchange.has_begun:
-            self.break_off()
+            self.abort()
             return
         headers = [(b"Content-Type", b"application/json")]
         request_id = self._exchange.request.header(names.REQUEST_ID)
@@ -90,9 +90,9 @@
         """Mark a stream as complete."""
         await self._exchange.end()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Close the connection, so that the answer can't look complete."""
-        self._exchange.break_off()
+        self._exchange.abort()
 
 
 def decode_request(request: HttpRequest) -> FrontRequest:
--- a/passtally/platform/process.py
+++ b/passtally/platform/process.py
@@ -33,7 +33,7 @@
 #: written in a millisecond, and a busy machine may hold its writer up for a second.
 SETTINGS_PATIENCE = timedelta(seconds=2)
 #: What a host opens before its first caller comes.
-LEAST_DESCRIPTORS = 24
+MIN_DESCRIPTORS = 24
 SETTINGS_PAUSE = timedelta(milliseconds=50)
 
 
@@ -55,7 +55,7 @@
     # Before the first thread is started.
     limit_arenas()
     try:
-        check_free(LEAST_DESCRIPTORS)
+        check_free(MIN_DESCRIPTORS)
         settings = _read_when_whole(path, signals)
     except (SettingsError, OSError) as error:
         print(f"passtally: {path}: {error}", file=sys.stderr)
--- a/passtally/platform/runner.py
+++ b/passtally/platform/runner.py
@@ -8,7 +8,7 @@
 from passtally.clock import Clock
 from passtally.connection_pool import ConnectionPool
 from passtally.decision import log_event
-from passtally.endpoint_words import AnswerNotes
+from passtally.endpoint_directives import DirectiveRecorder
 from passtally.engine import AttemptLostError, LoadReport
 from passtally.generation import Attempt, GenerationRequest
 from passtally.http_client import (
@@ -20,9 +20,9 @@
 from passtally.objects import Endpoint
 from passtally.plain import PlainAnswer, PlainCall
 from passtally.platform.decode import (
-    count_unread_runs,
+    count_waiting_runs,
+    decode_cached_parts,
     decode_copy_handle,
-    decode_kept_parts,
     encode_copy_order,
     is_engine_report,
 )
@@ -54,15 +54,15 @@
     Args:
         pool: The connections.
         clock: The clock.
-        notes: Where what their answers say of endpoints is noted.
+        recorder: Where what their answers say of endpoints is noted.
     """
 
     def __init__(
-        self, *, pool: ConnectionPool, clock: Clock, notes: AnswerNotes
+        self, *, pool: ConnectionPool, clock: Clock, recorder: DirectiveRecorder
     ) -> None:
         self._pool = pool
         self._clock = clock
-        self._notes = notes
+        self._recorder = recorder
 
     async def send(
         self,
@@ -76,7 +76,7 @@
             endpoint=live.endpoint,
             pool=self._pool,
             clock=self._clock,
-            notes=self._notes,
+            recorder=self._recorder,
         )
         if before_send is not None:
             before_send()
@@ -99,7 +99,7 @@
         except BaseException:
             link.abandon(connection)
             raise
-        link.give_back(connection, head)
+        link.release(connection, head)
         headers = CIMultiDict(
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in drop_connection_headers(head.headers)
@@ -116,7 +116,7 @@
         endpoint: The endpoint.
         pool: The connections.
         clock: The clock.
-        notes: Where what its answers say of it is noted.
+        recorder: Where what its answers say of it is noted.
         find_address: Returns where an endpoint listens, by its id.
     """
 
@@ -129,10 +129,12 @@
         endpoint: Endpoint,
         pool: ConnectionPool,
         clock: Clock,
-        notes: AnswerNotes,
+        recorder: DirectiveRecorder,
         find_address: Callable[[str], Address | None],
     ) -> None:
-        self._link = RunnerLink(endpoint=endpoint, pool=pool, clock=clock, notes=notes)
+        self._link = RunnerLink(
+            endpoint=endpoint, pool=pool, clock=clock, recorder=recorder
+        )
         self._find_address = find_address
 
     async def generate(
@@ -188,25 +190,25 @@
             return False
         return is_engine_report(body)
 
-    async def count_unread(self) -> int:
+    async def count_waiting(self) -> int:
         """Return how many runs there have no output yet."""
         body = await self._link.order(
             b"GET", REPORT_PATH, b"", ASK_TIMEOUT, names_endpoint=True
         )
         try:
-            return count_unread_runs(body)
+            return count_waiting_runs(body)
         except ValueError as error:
-            raise self._link.lost(LossKind.SEAM, str(error)) from error
+            raise self._link.lost(LossKind.RESUME_MISMATCH, str(error)) from error
 
-    async def list_kept_prompts(self) -> frozenset[str]:
+    async def list_cached_prompts(self) -> frozenset[str]:
         """Return the parts of prompts that its last cache events name."""
         body = await self._link.order(
             b"GET", CACHE_EVENTS_PATH, b"", ASK_TIMEOUT, headers=CACHE_EVENTS_WAIT
         )
         try:
-            return decode_kept_parts(body)
+            return decode_cached_parts(body)
         except ValueError as error:
-            raise self._link.lost(LossKind.SEAM, str(error)) from error
+            raise self._link.lost(LossKind.RESUME_MISMATCH, str(error)) from error
 
     async def probe(self) -> LoadReport | None:
         """Return none: reports lag, and each is paid for."""
--- a/passtally/platform/runner_link.py
+++ b/passtally/platform/runner_link.py
@@ -4,7 +4,7 @@
 
 from passtally.clock import Clock
 from passtally.connection_pool import ConnectionPool
-from passtally.endpoint_words import AnswerNotes
+from passtally.endpoint_directives import DirectiveRecorder
 from passtally.engine import AttemptLostError
 from passtally.fetch import find_header
 from passtally.http_client import (
@@ -16,7 +16,7 @@
 )
 from passtally.objects import Endpoint, EndpointStart
 from passtally.platform import names
-from passtally.platform.answer_words import read_words
+from passtally.platform.answer_directives import read_directives
 from passtally.retry import LossKind
 from passtally.settings import Address, parse_address
 
@@ -42,7 +42,7 @@
         endpoint: The endpoint.
         pool: The connections.
         clock: The clock.
-        notes: Where what its answers say of it is noted.
+        recorder: Where what its answers say of it is noted.
     """
 
     def __init__(
@@ -51,9 +51,9 @@
         endpoint: Endpoint,
         pool: ConnectionPool,
         clock: Clock,
-        notes: AnswerNotes,
+        recorder: DirectiveRecorder,
     ) -> None:
-        self._notes = notes
+        self._recorder = recorder
         self.address = parse_address(endpoint.url.removeprefix(_URL_PREFIX))
         self.endpoint_id = endpoint.id
         self._pool = pool
@@ -90,7 +90,7 @@
         except ExchangeError as error:
             raise self.lost(LossKind.UNREACHABLE, error.detail) from error
         system = self._system_headers(workspace, deadline)
-        start = self._notes.start_of(self.endpoint_id)
+        start = self._recorder.start_of(self.endpoint_id)
         try:
             head = await connection.send(method, target, [*headers, *system], body)
         except ExchangeError as error:
@@ -99,7 +99,7 @@
             self.abandon(connection)
             raise
         request_id = find_header(headers, names.REQUEST_ID)
-        self._note_words(head, start, request_id, sent_at=connection.sent_at)
+        self._record_directives(head, start, request_id, sent_at=connection.sent_at)
         try:
             self._check(request_id, head)
         except AttemptLostError:
@@ -107,15 +107,15 @@
             raise
         return connection, head
 
-    def give_back(self, connection: ClientConnection, head: ResponseHead) -> None:
+    def release(self, connection: ClientConnection, head: ResponseHead) -> None:
         """Keep a connection whose answer was read whole."""
-        self._pool.give_back(self.address, connection, head)
+        self._pool.release(self.address, connection, head)
 
     def abandon(self, connection: ClientConnection) -> None:
         """Close a connection that is waited for no more, and what may be as silent."""
         connection.abort()
         if self._clock.monotonic() - connection.sent_at >= SILENT_AFTER:
-            self._pool.distrust(self.address)
+            self._pool.invalidate(self.address)
 
     async def order(
         self,
@@ -153,8 +153,8 @@
         ]
         if names_endpoint:
             headers.append((b"X-Expect-Instance", self.endpoint_id.encode()))
-        start = self._notes.start_of(endpoint_id or self.endpoint_id)
-        if not self._notes.may_ask(start):
+        start = self._recorder.start_of(endpoint_id or self.endpoint_id)
+        if not self._recorder.may_query(start):
             raise self.lost(LossKind.REFUSED, "it has asked for rest")
         sent_at = self._clock.monotonic()
         try:
@@ -166,7 +166,9 @@
                 body,
                 most=MAX_ORDER_BYTES,
                 timeout=timeout,
-                on_head=lambda head: self._note_words(head, start, sent_at=sent_at),
+                on_head=lambda head: self._record_directives(
+                    head, start, sent_at=sent_at
+                ),
             )
         except ExchangeError as error:
             raise self.lost_in_exchange(error) from error
@@ -215,10 +217,10 @@
         """Return the error for an exchange that failed."""
         if error.step is ExchangeStep.CONNECT:
             return self.lost(LossKind.UNREACHABLE, error.detail)
-        kind = LossKind.SEAM if error.is_garbled else LossKind.RESET
+        kind = LossKind.RESUME_MISMATCH if error.is_garbled else LossKind.RESET
         return self.lost(kind, error.detail)
 
-    def _note_words(
+    def _record_directives(
         self,
         head: ResponseHead,
         start: EndpointStart,
@@ -227,9 +229,11 @@
         sent_at: timedelta,
     ) -> None:
         """Take in what an answer says of the endpoint that was asked."""
-        words = read_words(head, endpoint_id=start.endpoint_id, request_id=request_id)
+        words = read_directives(
+            head, endpoint_id=start.endpoint_id, request_id=request_id
+        )
         if words is not None:
-            self._notes.note_words(start, words, sent_at=sent_at)
+            self._recorder.record_directives(start, words, sent_at=sent_at)
 
     def _replaced(self, head: ResponseHead) -> AttemptLostError:
         """Return the error for an address that another endpoint has by now."""
@@ -263,13 +267,17 @@
             AttemptLostError: It is not, or the endpoint did not run the request.
         """
         if head.header(names.REQUEST_ID) not in (None, request_id):
-            raise self.lost(LossKind.SEAM, "the answer belongs to another request")
+            raise self.lost(
+                LossKind.RESUME_MISMATCH, "the answer belongs to another request"
+            )
         if head.status == 421:
             raise self._replaced(head)
         if head.header(names.NOT_RUN) is not None:
             raise self.lost(LossKind.REFUSED, f"not run, status {head.status}")
         if head.header(names.CONTENT_ENCODING) is not None:
-            raise self.lost(LossKind.SEAM, "the answer has a content encoding")
+            raise self.lost(
+                LossKind.RESUME_MISMATCH, "the answer has a content encoding"
+            )
         is_success = 200 <= head.status < 300
         if is_success and head.header(names.PROOF) is None:
-            raise self.lost(LossKind.SEAM, "a success without proof")
+            raise self.lost(LossKind.RESUME_MISMATCH, "a success without proof")
--- a/passtally/platform/runner_stream.py
+++ b/passtally/platform/runner_stream.py
@@ -62,7 +62,7 @@
     def close(self) -> None:
         """Give the connection back after a whole answer, else drop it."""
         if self._is_whole:
-            self._link.give_back(self._connection, self._head)
+            self._link.release(self._connection, self._head)
         else:
             self._connection.abort()
 
@@ -82,13 +82,13 @@
         """Return the whole events so far; a part event waits for its rest."""
         *whole, self._rest = (self._rest + chunk).split(_EVENT_END)
         if len(self._rest) > MAX_EVENT_BYTES:
-            raise self._link.lost(LossKind.SEAM, "an event is too long")
+            raise self._link.lost(LossKind.RESUME_MISMATCH, "an event is too long")
         return [self._decode_one(raw + _EVENT_END) for raw in whole]
 
     def _decode_one(self, raw: bytes) -> TokenEvent:
         found = _EVENT_ID.search(raw)
         if found is None:
-            raise self._link.lost(LossKind.SEAM, "an event without an id")
+            raise self._link.lost(LossKind.RESUME_MISMATCH, "an event without an id")
         self._position = int(found.group(1))
         return TokenEvent(
             position=self._position - 1,
--- a/passtally/platform/settings_watch.py
+++ b/passtally/platform/settings_watch.py
@@ -19,7 +19,7 @@
 #: A file that has changed is taken once it stays the same for so long, since it may
 #: still be being written; one that goes on changing is taken after the longer time.
 SETTLE_TIME = timedelta(milliseconds=100)
-LONGEST_SETTLE = timedelta(seconds=1)
+MAX_SETTLE = timedelta(seconds=1)
 
 
 class SettingsWatch:
@@ -93,7 +93,7 @@
             OSError: It can't be read.
         """
         text = read_text(self._path)
-        until = self._clock.monotonic() + LONGEST_SETTLE
+        until = self._clock.monotonic() + MAX_SETTLE
         known = self._known
         while text != known and self._clock.monotonic() < until:
             known = text
--- a/passtally/platform/store.py
+++ b/passtally/platform/store.py
@@ -86,7 +86,7 @@
     def __init__(
         self, *, fetcher: Fetcher, url: str, whole_prefixes: Collection[str] = ()
     ) -> None:
-        self._link = StoreLink(fetcher=fetcher, url=url, on_answer=self._note_era)
+        self._link = StoreLink(fetcher=fetcher, url=url, on_answer=self._record_era)
         #: The highest era that an answer told; 0 where none did.
         self._era = 0
         #: What an answer told last that is no era.
@@ -175,7 +175,7 @@
             data=body,
         )
 
-    def _note_era(self, fetched: Fetched) -> None:
+    def _record_era(self, fetched: Fetched) -> None:
         """Take in the era that an answer tells, whatever else it says."""
         text = find_header(fetched.headers, names.STORE_ERA)
         try:
--- a/passtally/prefix_finder.py
+++ b/passtally/prefix_finder.py
@@ -28,7 +28,7 @@
 #: and, if none of them keeps it, so many of each other one.
 FAR_ASKED = 2
 #: An answer is used again for so long: callers come back all at once.
-KEEP_FOR = timedelta(milliseconds=250)
+CACHE_TIME = timedelta(milliseconds=250)
 
 
 @attrs.frozen(kw_only=True)
@@ -67,7 +67,7 @@
             view
             for view in self._fleet.views(service)
             if view.state is EndpointState.ACTIVE
-            and view.may_be_sent
+            and view.accepts_requests
             and view.id not in exclude
             and self._fleet.is_usable(view.id)
         ]
@@ -88,7 +88,7 @@
         """Return the prompts that an endpoint keeps; one question serves many."""
         known = self._answers_by_id.get(endpoint_id)
         now = self._clock.monotonic()
-        if known is not None and now - known.asked_at < KEEP_FOR:
+        if known is not None and now - known.asked_at < CACHE_TIME:
             return known.prompts
         asking = self._asking_by_id.get(endpoint_id)
         if asking is None:
@@ -102,7 +102,7 @@
         prompts: Collection[str] = ()
         if live is not None:
             try:
-                prompts = await live.engine.list_kept_prompts()
+                prompts = await live.engine.list_cached_prompts()
             except AttemptLostError as loss:
                 log_event("prefixes", "Not told.", peer=endpoint_id, why=loss)
         self._forget_old()
@@ -116,7 +116,7 @@
         self._answers_by_id = {
             name: answer
             for name, answer in self._answers_by_id.items()
-            if now - answer.asked_at < KEEP_FOR
+            if now - answer.asked_at < CACHE_TIME
         }
 
 
--- a/passtally/quarantine.py
+++ b/passtally/quarantine.py
@@ -21,7 +21,7 @@
 #: How many endpoints may end under a request before it is refused.
 MAX_CRASHES = 3
 #: For how long after its last end a request is refused, and its ends are remembered.
-KEPT_FOR = timedelta(minutes=10)
+RETENTION_TIME = timedelta(minutes=10)
 #: For how long after a good end no end of an endpoint counts against a request. One
 #: that many callers send alike meets many of both on a bad day.
 TRUSTED_FOR = timedelta(minutes=1)
@@ -29,7 +29,7 @@
 MAX_SUSPECTS = 512
 #: For how long other hosts are told of a request under which a single endpoint ended.
 #: Where many end at once, so many are innocent that not all can be told in that time.
-SINGLE_NEWS_FOR = timedelta(seconds=2)
+SINGLE_CRASH_SEND_TIME = timedelta(seconds=2)
 #: The most requests whose good end is remembered, some 64 a second.
 MAX_TRUSTED = 4096
 #: The most ends that are remembered of one request.
@@ -45,14 +45,14 @@
         crashed: The starts of endpoints that ended under it, in the order heard.
         cleared: Those of them that are known not to be its doing.
         last_crash_at: When the last one ended, on this host's monotonic clock.
-        told_at: When other hosts were last told of it; None while there is news.
+        sent_at: When other hosts were last told of it; None while there is news.
     """
 
     fingerprint: bytes
     crashed: dict[str, None] = attrs.field(factory=dict)
     cleared: set[str] = attrs.field(factory=set)
     last_crash_at: timedelta
-    told_at: timedelta | None = None
+    sent_at: timedelta | None = None
 
     @property
     def open_crashes(self) -> list[str]:
@@ -60,7 +60,7 @@
         return [start for start in self.crashed if start not in self.cleared]
 
     @property
-    def is_held(self) -> bool:
+    def is_quarantined(self) -> bool:
         """Whether it is refused."""
         return len(self.open_crashes) >= MAX_CRASHES
 
@@ -81,7 +81,7 @@
         self._suspects: OrderedDict[bytes, Suspect] = OrderedDict()
         self._trusted_at: OrderedDict[bytes, timedelta] = OrderedDict()
 
-    def note_crash(
+    def record_crash(
         self, fingerprint: bytes, start: EndpointStart, *, now: timedelta
     ) -> Suspect | None:
         """Take in that an endpoint ended while it ran a request.
@@ -93,10 +93,10 @@
             return None
         suspect = self._take(fingerprint, crashed_at=now)
         if suspect.merge([_name_of(start)], ()):
-            suspect.told_at = None
+            suspect.sent_at = None
         return suspect
 
-    def note_good(self, fingerprint: bytes, *, now: timedelta) -> bool:
+    def record_success(self, fingerprint: bytes, *, now: timedelta) -> bool:
         """Take in that an endpoint ran a request to a good end.
 
         Returns:
@@ -116,27 +116,29 @@
         if suspect is None or not suspect.open_crashes:
             return False
         suspect.merge((), list(suspect.crashed))
-        suspect.told_at = None
+        suspect.sent_at = None
         return True
 
     def find(self, fingerprint: bytes, *, now: timedelta) -> Suspect | None:
         """Return what is known of a request, if an endpoint may have ended by it."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or now - suspect.last_crash_at > KEPT_FOR:
+        if suspect is None or now - suspect.last_crash_at > RETENTION_TIME:
             return None
         return suspect if suspect.open_crashes else None
 
     def remaining(self, fingerprint: bytes, *, now: timedelta) -> timedelta | None:
         """Return how long a request is still refused, or None if it is not."""
         suspect = self.find(fingerprint, now=now)
-        if suspect is None or not suspect.is_held:
+        if suspect is None or not suspect.is_quarantined:
             return None
-        return KEPT_FOR - (now - suspect.last_crash_at)
+        return RETENTION_TIME - (now - suspect.last_crash_at)
 
     def held(self, *, now: timedelta) -> list[Suspect]:
         """Return the requests that are refused."""
         self._forget_old(now)
-        return [suspect for suspect in self._suspects.values() if suspect.is_held]
+        return [
+            suspect for suspect in self._suspects.values() if suspect.is_quarantined
+        ]
 
     @property
     def is_empty(self) -> bool:
@@ -152,7 +154,7 @@
             if len(suspect.crashed) > 1
         ]
 
-    def take_rows(
+    def pop_updates(
         self, most: int, *, now: timedelta, told_before: timedelta
     ) -> list[CrashRow]:
         """Return what other hosts are to be told, and count it as told.
@@ -169,24 +171,24 @@
         due = [
             suspect
             for suspect in self._suspects.values()
-            if suspect.told_at is None
-            or (suspect.told_at <= told_before and len(suspect.open_crashes) > 1)
+            if suspect.sent_at is None
+            or (suspect.sent_at <= told_before and len(suspect.open_crashes) > 1)
         ]
         due.sort(key=_urgency)
         for suspect in due[:most]:
-            suspect.told_at = now
+            suspect.sent_at = now
         return [_row_of(suspect, now) for suspect in due[:most]]
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether something has changed that other hosts were not told."""
-        return any(suspect.told_at is None for suspect in self._suspects.values())
+        return any(suspect.sent_at is None for suspect in self._suspects.values())
 
     @property
-    def has_urgent_news(self) -> bool:
+    def has_urgent_updates(self) -> bool:
         """Whether hosts were not told of one under which several endpoints ended."""
         return any(
-            suspect.told_at is None and len(suspect.open_crashes) > 1
+            suspect.sent_at is None and len(suspect.open_crashes) > 1
             for suspect in self._suspects.values()
         )
 
@@ -198,7 +200,7 @@
         """
         age = timedelta(milliseconds=row.age_ms)
         count = len(row.crashed) + len(row.cleared)
-        if age > KEPT_FOR or not count:
+        if age > RETENTION_TIME or not count:
             return None
         if row.fingerprint not in self._suspects and not self._make_room(count):
             return None
@@ -208,7 +210,7 @@
             suspect.merge((), list(suspect.crashed))
         if not is_new:
             return None
-        suspect.told_at = None
+        suspect.sent_at = None
         return suspect
 
     def _take(self, fingerprint: bytes, *, crashed_at: timedelta) -> Suspect:
@@ -238,9 +240,9 @@
 
     def _drop_old_news(self, now: timedelta) -> None:
         for suspect in self._suspects.values():
-            is_old = now - suspect.last_crash_at > SINGLE_NEWS_FOR
-            if suspect.told_at is None and is_old and len(suspect.crashed) == 1:
-                suspect.told_at = now
+            is_old = now - suspect.last_crash_at > SINGLE_CRASH_SEND_TIME
+            if suspect.sent_at is None and is_old and len(suspect.crashed) == 1:
+                suspect.sent_at = now
 
     def _is_trusted(self, fingerprint: bytes, now: timedelta) -> bool:
         at = self._trusted_at.get(fingerprint)
@@ -248,12 +250,12 @@
 
     def _forget_old(self, now: timedelta) -> None:
         for fingerprint, suspect in list(self._suspects.items()):
-            if now - suspect.last_crash_at > KEPT_FOR:
+            if now - suspect.last_crash_at > RETENTION_TIME:
                 del self._suspects[fingerprint]
 
 
 def _urgency(suspect: Suspect) -> tuple[timedelta, int]:
-    return suspect.told_at or timedelta.min, -len(suspect.open_crashes)
+    return suspect.sent_at or timedelta.min, -len(suspect.open_crashes)
 
 
 def _name_of(start: EndpointStart) -> str:
--- a/passtally/quarantine_news.py
+++ b/passtally/quarantine_exchange.py
@@ -65,7 +65,7 @@
         self._far_ids = far_ids
         self._clock = clock
         self._rng = rng
-        peers.listen(QuarantineNews, self._hear)
+        peers.listen(QuarantineNews, self._receive)
         peers.on(FetchQuarantine, self._answer)
 
     async def run(self) -> None:
@@ -73,9 +73,9 @@
         while True:
             await self._wait_for_news()
             host_ids = self._linked_ids()
-            if not self._quarantine.has_urgent_news:
+            if not self._quarantine.has_urgent_updates:
                 await self._clock.sleep(GATHER + len(host_ids) * GATHER_PER_HOST)
-            await self._tell(host_ids)
+            await self._send_updates(host_ids)
 
     async def ask(self) -> None:
         """Ask others at the start, and then those who may not tell, for ever."""
@@ -97,13 +97,13 @@
         finally:
             changed.clear()
 
-    async def _tell(self, host_ids: Sequence[str]) -> None:
+    async def _send_updates(self, host_ids: Sequence[str]) -> None:
         now = self._clock.monotonic()
-        rows = self._quarantine.take_rows(
+        rows = self._quarantine.pop_updates(
             MAX_ROWS, now=now, told_before=now - REPEAT_INTERVAL
         )
         if rows:
-            await self._peers.tell(host_ids, QuarantineNews(rows=rows))
+            await self._peers.send_message(host_ids, QuarantineNews(rows=rows))
         if len(rows) == MAX_ROWS:
             self._guard.changed.set()
             await self._clock.sleep(PART_PAUSE)
@@ -121,13 +121,13 @@
             log_event("quarantine", "Peer did not answer.", peer=host_id, why=error)
             return False
         if isinstance(reply, QuarantineNews):
-            self._hear(reply)
+            self._receive(reply)
         return True
 
     async def _answer(self, message: FetchQuarantine) -> QuarantineNews:
         return QuarantineNews(rows=self._quarantine.rows(now=self._clock.monotonic()))
 
-    def _hear(self, news: QuarantineNews) -> None:
+    def _receive(self, news: QuarantineNews) -> None:
         now = self._clock.monotonic()
         for row in news.rows:
             was_held = self._guard.remaining(row.fingerprint) is not None
@@ -135,7 +135,7 @@
             if suspect is None:
                 continue
             self._guard.changed.set()
-            if suspect.is_held and not was_held:
-                self._guard.note_held(suspect)
-            elif was_held and not suspect.is_held:
+            if suspect.is_quarantined and not was_held:
+                self._guard.record_quarantined(suspect)
+            elif was_held and not suspect.is_quarantined:
                 log_event("quarantine", "Cleared.", fingerprint=row.fingerprint.hex())
--- a/passtally/relay.py
+++ b/passtally/relay.py
@@ -14,7 +14,7 @@
     Attempt,
     Delivery,
     Generation,
-    SeamError,
+    ResumeMismatchError,
     TokenEvent,
 )
 from passtally.live_endpoint import LiveEndpoint, StreamGuard
@@ -40,10 +40,10 @@
         """
 
 
-MayLeave = Callable[[LossKind], Awaitable[bool]]
+MayFailOver = Callable[[LossKind], Awaitable[bool]]
 
 
-async def always_leave(kind: LossKind) -> bool:
+async def always_fail_over(kind: LossKind) -> bool:
     """Let every answer go on elsewhere."""
     return True
 
@@ -65,8 +65,8 @@
         load_changed: Called when what it takes at endpoints has changed.
         on_first: Called before its first output is passed on.
         first_limit: See :class:`passtally.live_endpoint.StreamGuard`.
-        may_leave: Returns whether the answer may go on elsewhere once its endpoint is
-            given up for silence, by how the attempt is lost then.
+        may_fail_over: Returns whether the answer may go on elsewhere once its endpoint
+            is given up for silence, by how the attempt is lost then.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         load_changed: Callable[[], None],
         on_first: Callable[[], None],
         first_limit: Callable[[int], timedelta | None] = lambda tokens: None,
-        may_leave: MayLeave = always_leave,
+        may_fail_over: MayFailOver = always_fail_over,
     ) -> None:
         self._generation = generation
         self._attempt = attempt
@@ -91,7 +91,7 @@
         self._replica = replica
         self._load_changed = load_changed
         self._on_first = on_first
-        self._may_leave = may_leave
+        self._may_fail_over = may_fail_over
         self._leaving: asyncio.Task[None] | None = None
         self._guard = StreamGuard(
             quiet_since=clock.monotonic(),
@@ -103,7 +103,7 @@
         self._reading = 0
 
     @property
-    def heard_at(self) -> timedelta | None:
+    def last_output_at(self) -> timedelta | None:
         """When the last output came; None before the first."""
         return self._guard.silent_since if self._guard.reads else None
 
@@ -126,23 +126,23 @@
         self._sink.switch(self._generation, self._attempt)
         if not attach:
             self._resuming = count_resume_tokens(self._generation)
-            self._reading = count_reading_tokens(self._generation)
+            self._reading = count_prefill_tokens(self._generation)
         live.enter()
         live.resume_tokens += self._resuming
-        live.reading_tokens += self._reading
+        live.prefill_tokens += self._reading
         live.guards.add(self._guard)
         held = [live] if self._replica is None else [live, self._replica]
-        tokens = count_held_tokens(self._generation)
+        tokens = count_kv_tokens(self._generation)
         for endpoint in held:
-            endpoint.held_tokens += tokens
+            endpoint.kv_tokens += tokens
         self._load_changed()
         try:
             await self._pass_on(attach=attach)
-        except SeamError as error:
-            raise self._lost(LossKind.SEAM, "join", str(error)) from error
+        except ResumeMismatchError as error:
+            raise self._lost(LossKind.RESUME_MISMATCH, "join", str(error)) from error
         finally:
             for endpoint in held:
-                endpoint.held_tokens -= tokens
+                endpoint.kv_tokens -= tokens
             live.guards.discard(self._guard)
             self._end_reading()
             live.leave()
@@ -161,16 +161,16 @@
             raise self._lost(kind, "stream", "silence") from error
         finally:
             if self._leaving is not None:
-                self._leaving.remove_done_callback(self._note_left)
+                self._leaving.remove_done_callback(self._record_left)
                 self._leaving.cancel()
             if stream is not None:
                 stream.close()
 
     def _begin_leaving(self, scope: asyncio.Timeout) -> None:
         self._leaving = asyncio.create_task(self._leave(scope))
-        self._leaving.add_done_callback(self._note_left)
+        self._leaving.add_done_callback(self._record_left)
 
-    def _note_left(self, leaving: asyncio.Task[None]) -> None:
+    def _record_left(self, leaving: asyncio.Task[None]) -> None:
         """Judge the endpoint again where asking whether to leave it failed."""
         error = None if leaving.cancelled() else leaving.exception()
         if leaving.cancelled() or error is not None:
@@ -181,8 +181,8 @@
         """Give a silent endpoint up, or wait on there."""
         guard = self._guard
         reads = guard.reads
-        may_leave = guard.is_lost or await self._may_leave(guard.tripped)
-        if guard.is_lost or (may_leave and guard.reads == reads):
+        may_fail_over = guard.is_lost or await self._may_fail_over(guard.tripped)
+        if guard.is_lost or (may_fail_over and guard.reads == reads):
             scope.reschedule(asyncio.get_running_loop().time())
             return
         if not guard.is_held:
@@ -209,27 +209,27 @@
     async def _read(self, stream: TokenStream) -> None:
         guard = self._guard
         if stream.report is not None:
-            self._live.take_report(stream.report)
+            self._live.update_report(stream.report)
         while events := await stream.read():
             guard.reads += 1
             if guard.reads == 1:
-                self._note_first()
+                self._record_first()
             if guard.is_held:
                 guard.is_held = False
-                self._live.readmit()
+                self._live.reset_ejection()
             guard.is_waiting = False
             await self._deliver(events)
             guard.is_waiting = True
 
-    def _note_first(self) -> None:
-        self._live.readmit()
+    def _record_first(self) -> None:
+        self._live.reset_ejection()
         self._end_reading()
         self._load_changed()
         self._on_first()
 
     def _end_reading(self) -> None:
         self._live.resume_tokens -= self._resuming
-        self._live.reading_tokens -= self._reading
+        self._live.prefill_tokens -= self._reading
         self._resuming = self._reading = 0
 
     async def _deliver(self, events: list[TokenEvent]) -> None:
@@ -250,13 +250,13 @@
         )
 
 
-def count_held_tokens(generation: Generation) -> int:
+def count_kv_tokens(generation: Generation) -> int:
     """Return the tokens that a run may take in an endpoint's memory."""
     request = generation.request
     return request.prompt_tokens + request.max_tokens
 
 
-def count_reading_tokens(generation: Generation) -> int:
+def count_prefill_tokens(generation: Generation) -> int:
     """Return the tokens to read before a run's next output, where that is known."""
     prompt_tokens = generation.request.prompt_tokens
     return prompt_tokens + generation.position if prompt_tokens else 0
--- a/passtally/request_limits.py
+++ b/passtally/request_limits.py
@@ -18,18 +18,18 @@
 #: The least hosts that share one limit, each with a request that it may send at once:
 #: the users allow half as much again and five requests more in some four seconds, also
 #: while hosts don't agree on who shares it.
-LEAST_SHARERS = 4
+MIN_SHARERS = 4
 #: So many hosts share each request a second of a larger limit.
 SHARERS_PER_REQUEST = 1.5
 #: How long a host saves up what it may send beyond one request.
 SAVED_FOR = timedelta(seconds=0.25)
 #: An endpoint that takes none is asked this often, in requests a second: only its
 #: answers tell when it takes some again.
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 #: For how long a limit holds that no answer has named again.
-KEPT_FOR = timedelta(seconds=30)
+RETENTION_TIME = timedelta(seconds=30)
 #: The most endpoints whose limits other hosts are told of.
-MAX_TOLD = 64
+MAX_SENT = 64
 
 
 @attrs.define(kw_only=True)
@@ -69,7 +69,7 @@
         self._rank = rank
         self._limits_by_start: dict[EndpointStart, _Limit] = {}
 
-    def note_answer(
+    def record_answer(
         self,
         start: EndpointStart,
         rate: float | None,
@@ -93,7 +93,7 @@
             return False
         return self._put(start, rate, observed_at=now, now=now)
 
-    def has_room(self, start: EndpointStart, *, now: timedelta) -> bool:
+    def has_capacity(self, start: EndpointStart, *, now: timedelta) -> bool:
         """Return whether this host may send an endpoint a request now."""
         limit = self._find(start, now)
         if limit is None:
@@ -103,24 +103,24 @@
 
     def take(self, start: EndpointStart, *, now: timedelta) -> bool:
         """Count a request that is sent now, if there is room for it."""
-        if not self.has_room(start, now=now):
+        if not self.has_capacity(start, now=now):
             return False
         limit = self._find(start, now)
         if limit is not None:
             limit.saved -= 1
         return True
 
-    def wait_for_room(self, start: EndpointStart, *, now: timedelta) -> timedelta:
+    def time_until_capacity(self, start: EndpointStart, *, now: timedelta) -> timedelta:
         """Return how long it takes until this host may send an endpoint a request.
 
         Where it has no part of the limit, that is when another one may send the next.
         """
         limit = self._find(start, now)
-        if limit is None or self.has_room(start, now=now):
+        if limit is None or self.has_capacity(start, now=now):
             return timedelta(0)
         rate = self._own_rate(limit)
         if not rate:
-            return timedelta(seconds=1 / max(limit.rate, LEAST_RATE))
+            return timedelta(seconds=1 / max(limit.rate, MIN_RATE))
         return timedelta(seconds=(1 - limit.saved) / rate)
 
     def rows(self, *, now: timedelta) -> list[LimitRow]:
@@ -136,7 +136,7 @@
                 rate=limit.rate,
                 age_ms=round((now - limit.observed_at) / timedelta(milliseconds=1)),
             )
-            for limit in limits[:MAX_TOLD]
+            for limit in limits[:MAX_SENT]
         ]
 
     def merge(self, rows: Iterable[LimitRow], *, now: timedelta) -> bool:
@@ -179,7 +179,11 @@
 
     def _find(self, start: EndpointStart, now: timedelta) -> _Limit | None:
         limit = self._limits_by_start.get(start)
-        if limit is None or limit.rate is None or now - limit.observed_at > KEPT_FOR:
+        if (
+            limit is None
+            or limit.rate is None
+            or now - limit.observed_at > RETENTION_TIME
+        ):
             return None
         return limit
 
@@ -193,12 +197,12 @@
 
     def _own_rate(self, limit: _Limit) -> float:
         """Return the requests a second that this host may send; 0 for none."""
-        rate = max(limit.rate, LEAST_RATE)
-        sharers = max(LEAST_SHARERS, math.floor(SHARERS_PER_REQUEST * rate))
+        rate = max(limit.rate, MIN_RATE)
+        sharers = max(MIN_SHARERS, math.floor(SHARERS_PER_REQUEST * rate))
         sharers = min(sharers, self._count_hosts())
         return rate / sharers if self._rank(limit.start.endpoint_id) < sharers else 0.0
 
     def _forget_old(self, now: timedelta) -> None:
         for start, limit in list(self._limits_by_start.items()):
-            if now - limit.observed_at > KEPT_FOR:
+            if now - limit.observed_at > RETENTION_TIME:
                 del self._limits_by_start[start]
--- a/passtally/retry.py
+++ b/passtally/retry.py
@@ -13,7 +13,7 @@
     #: It fell silent and did not answer the probe.
     FROZEN = "frozen"
     #: It sent tokens that do not join on.
-    SEAM = "seam"
+    RESUME_MISMATCH = "seam"
     #: It refused the request before running it.
     REFUSED = "refused"
     #: A newer attempt, from another entry host, has taken the stream up.
@@ -100,14 +100,14 @@
     return RetryDecision(step=NextStep.RESUME, reason=f"lost by {kind}")
 
 
-def is_gone(kind: LossKind, *, was_attached: bool) -> bool:
+def is_endpoint_unreachable(kind: LossKind, *, was_attached: bool) -> bool:
     """Return whether a loss shows that the endpoint itself is out of reach."""
     if kind in (LossKind.FROZEN, LossKind.UNREACHABLE, LossKind.REPLACED):
         return True
     return was_attached and kind is LossKind.RESET
 
 
-def is_death(kind: LossKind, *, was_attached: bool) -> bool:
+def is_endpoint_dead(kind: LossKind, *, was_attached: bool) -> bool:
     """Return whether a loss shows that an endpoint that keeps streams has ended.
 
     One that has a stream no more was restarted.
--- a/passtally/retry_budget.py
+++ b/passtally/retry_budget.py
@@ -10,11 +10,11 @@
 from passtally.clock import Clock
 
 SHARE = 0.1
-MOST = 20.0
+MAX_SAVED = 20.0
 #: When who waits for a repeat looks again, and the longest pause of that. Each look
 #: may ask four hosts; callers notice a pause of 700 ms, and may wait for many seconds.
-FIRST_LOOK = timedelta(milliseconds=200)
-LAST_LOOK = timedelta(seconds=1)
+FIRST_CHECK_DELAY = timedelta(milliseconds=200)
+MAX_CHECK_DELAY = timedelta(seconds=1)
 #: Parts of a repeat that are lent add up to whole ones but for so much.
 ROUNDING = 1e-9
 
@@ -31,14 +31,14 @@
     def try_resume(self, workspace: str, *, service: str = "") -> bool:
         """Take the resume of an answer that has begun, if there is one left."""
 
-    def give_back(self, *, service: str) -> None:
+    def release(self, *, service: str) -> None:
         """Leave to others a repeat or a resume that was taken and not needed."""
 
     async def borrow(self, *, service: str, is_resume: bool) -> bool:
         """Take a repeat or a resume with the help of what other hosts have left."""
 
 
-async def take_repeat(
+async def acquire_retry(
     budgets: Budgets, workspace: str, *, service: str, is_resume: bool
 ) -> bool:
     """Take a repeat or a resume, from the own part or with what others have left.
@@ -55,7 +55,7 @@
     return await budgets.borrow(service=service, is_resume=is_resume)
 
 
-async def wait_for_repeat(
+async def wait_for_retry(
     take: Callable[[], Awaitable[bool]],
     *,
     clock: Clock,
@@ -68,7 +68,7 @@
         clock: The clock.
         until: How long, on the monotonic clock; None for as long as it takes.
     """
-    pause = FIRST_LOOK
+    pause = FIRST_CHECK_DELAY
     while not await take():
         if until is not None:
             left = until - clock.monotonic()
@@ -76,7 +76,7 @@
                 return False
             pause = min(pause, left)
         await clock.sleep(pause)
-        pause = min(2 * pause, LAST_LOOK)
+        pause = min(2 * pause, MAX_CHECK_DELAY)
     return True
 
 
@@ -91,8 +91,8 @@
     """
 
     share: float = SHARE
-    most: float = MOST
-    saved: float = MOST
+    most: float = MAX_SAVED
+    saved: float = MAX_SAVED
 
     def earn(self) -> None:
         """Count one request."""
@@ -115,7 +115,7 @@
     """The budgets of all workspaces, and one of the host's failure domain."""
 
     def __init__(self) -> None:
-        self._domain = RetryBudget(most=10 * MOST, saved=10 * MOST)
+        self._domain = RetryBudget(most=10 * MAX_SAVED, saved=10 * MAX_SAVED)
         self._by_workspace: dict[str, RetryBudget] = {}
 
     def earn(self, workspace: str, *, service: str = "") -> None:
@@ -136,7 +136,7 @@
         """Allow it: the resume budget of each endpoint bounds resumes instead."""
         return True
 
-    def give_back(self, *, service: str) -> None:
+    def release(self, *, service: str) -> None:
         """Do nothing: resumes, which alone are taken ahead, are not counted here."""
 
     async def borrow(self, *, service: str, is_resume: bool) -> bool:
@@ -213,7 +213,7 @@
         """Take a resume from all that is left."""
         return self._take(service, above=0)
 
-    def give_back(self, *, service: str) -> None:
+    def release(self, *, service: str) -> None:
         """Leave to others a repeat or a resume that was taken and not needed."""
         recent = self._recent(service, self._clock.monotonic())
         if recent.repeats:
