--- a/passtally/rollout_trial.py
+++ b/passtally/rollout_trial.py
@@ -13,7 +13,7 @@
 from passtally.ranking import rank_of
 from passtally.retry_budget import Lend, ServiceBudgets, lend_nothing
 from passtally.rollout import GRACE, Rollout, RolloutRecord, RolloutState
-from passtally.version_evidence import Evidence, EvidenceBoard
+from passtally.version_evidence import Evidence, EvidenceTable
 from passtally.version_judge import Verdict, VersionJudge
 
 #: The part that hosts plan with of the fixed number of requests that may go to a bad
@@ -21,7 +21,7 @@
 SLACK_PART = 0.75
 #: At least so many endpoints of the new version are tried, so that one that fails by
 #: itself can be told from a version that does.
-LEAST_TRIED = 3
+MIN_TRIED = 3
 #: The part of the trial after which endpoints are tried that are still slow from their
 #: start; their times are not counted.
 COLD_PART = 0.4
@@ -68,7 +68,9 @@
         self._judge = judge
         self.rollout = Rollout(record=record, now=clock.monotonic())
         self.order = record.order
-        self.board = EvidenceBoard(order_id=self.order.id, host_id=host_id, life=life)
+        self.evidence_table = EvidenceTable(
+            order_id=self.order.id, host_id=host_id, life=life
+        )
         self.tried_ids: frozenset[str] = frozenset()
         #: Whether an endpoint of the new version is in use.
         self.has_new = False
@@ -124,7 +126,7 @@
             self.send("come")
         ready = [item for item in new if item.id in usable and not self._waits(item)]
         ready.sort(key=lambda item: rank_of(self.order.id, item.id))
-        count = max(LEAST_TRIED, math.ceil(self.budgets.share * len(new)))
+        count = max(MIN_TRIED, math.ceil(self.budgets.share * len(new)))
         self.tried_ids = frozenset(item.id for item in ready[:count])
 
     def _waits(self, endpoint: Endpoint) -> bool:
@@ -134,7 +136,7 @@
         is_early = self._clock.monotonic() < rollout.began_at + COLD_PART * trial
         return endpoint.is_cold and is_early
 
-    def take_trial(self) -> bool:
+    def acquire_trial(self) -> bool:
         """Count a request, and return whether it is to try the new version."""
         service = self.order.service
         self.budgets.earn("", service=service)
@@ -159,9 +161,9 @@
             service=self.order.service, is_resume=True
         )
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Leave a trial to another request."""
-        self.budgets.give_back(service=self.order.service)
+        self.budgets.release(service=self.order.service)
 
     def allows(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint may get requests that are not counted.
@@ -179,7 +181,7 @@
         past = self.rollout.began_at + self.order.within + GRACE
         return self._clock.monotonic() > past
 
-    def note_answer(
+    def record_answer(
         self,
         endpoint: Endpoint,
         *,
@@ -192,7 +194,7 @@
         if self.rollout.is_over:
             return
         is_new = self.rollout.is_new(endpoint)
-        self.board.count(
+        self.evidence_table.count(
             route=route,
             endpoint_id=endpoint.id if is_new else "",
             answers=answers,
@@ -206,7 +208,7 @@
         if now - self._judged_at < JUDGE_INTERVAL:
             return self._verdict
         self._judged_at = now
-        evidence = self.board.sum_up()
+        evidence = self.evidence_table.sum_up()
         earlier = [state for span in SPANS if (state := self._state_before(now - span))]
         if not self._states or now - self._states[-1][0] >= KEEP_INTERVAL:
             self._states.append((now, evidence))
@@ -233,7 +235,7 @@
 
     def log_state(self, **fields: object) -> None:
         """Tell the state, and the counts that stand behind it."""
-        evidence = self.board.sum_up()
+        evidence = self.evidence_table.sum_up()
         tried = [
             tally
             for by_endpoint in evidence.tried_by_route.values()
@@ -246,17 +248,17 @@
             version=self.order.version,
             answers=sum(tally.answers for tally in tried),
             failures=sum(tally.failures for tally in tried),
-            hosts=len(self.board.hosts()),
+            hosts=len(self.evidence_table.hosts()),
             **fields,
         )
 
-    def hear(self, evidence: HostEvidence) -> bool:
+    def receive(self, evidence: HostEvidence) -> bool:
         """Take in what another host tells, and return whether it is new.
 
         What one host has found bad gets nothing more from any: a version that was
         wrongly found bad costs another try, one that is used on costs answers.
         """
-        if not self.board.take(evidence):
+        if not self.evidence_table.take(evidence):
             return False
         is_bad = evidence.state in (RolloutState.ROLLING_BACK, RolloutState.ROLLED_BACK)
         if is_bad and not self.rollout.is_over:
--- a/passtally/rollouts.py
+++ b/passtally/rollouts.py
@@ -31,10 +31,10 @@
 TICK = timedelta(milliseconds=100)
 #: How many linked hosts are told at each step, and in how many steps.
 FANOUT = 3
-TOLD_STEPS = 3
+SENT_STEPS = 3
 #: How often a host tells what it counted of the version before, which changes with each
 #: request; what it counted of the new one it tells at once.
-TELL_INTERVAL = timedelta(seconds=1)
+SEND_INTERVAL = timedelta(seconds=1)
 #: How much longer each host waits than the one before it until it records what was
 #: decided: a call to the store takes 4 ms, and its news 400 ms at most to come.
 RECORD_STEP = timedelta(milliseconds=250)
@@ -49,7 +49,7 @@
 #: Stands for a moment long ago.
 NEVER = timedelta(days=-1)
 #: How long all hosts have to hear of a move before it can be over.
-LEAST_MOVE = timedelta(seconds=1)
+MIN_MOVE = timedelta(seconds=1)
 
 Record = Callable[[RolloutRecord, RecordedState], Awaitable[None]]
 
@@ -119,7 +119,7 @@
         self._steps_left: dict[tuple[str, str, int], int] = {}
         self._told_at = timedelta(0)
         self._record_at_by_service: dict[str, timedelta] = {}
-        peers.listen(RolloutNews, self.hear)
+        peers.listen(RolloutNews, self.receive)
 
     def adjust(self, *, share: float, slack: float) -> None:
         """Bound what is sent by other figures, also in roll-outs under way."""
@@ -196,21 +196,21 @@
         trial = self._trials_by_service.get(endpoint.service)
         return trial is not None and endpoint.id in trial.tried_ids
 
-    def take_trial(self, service: str) -> bool:
+    def acquire_trial(self, service: str) -> bool:
         """Count a new request, and return whether it is to try a new version."""
         trial = self._trials_by_service.get(service)
-        if trial is None or trial.rollout.is_over or not trial.take_trial():
+        if trial is None or trial.rollout.is_over or not trial.acquire_trial():
             return False
         self._metrics.count(Metric.TRIALS, service)
         return True
 
-    def give_back(self, service: str) -> None:
+    def release(self, service: str) -> None:
         """Leave a trial to another request: no endpoint could take it."""
         trial = self._trials_by_service.get(service)
         if trial is not None:
-            trial.give_back()
+            trial.release()
 
-    def note_answer(
+    def record_answer(
         self,
         endpoint: Endpoint,
         *,
@@ -223,7 +223,7 @@
         trial = self._trials_by_service.get(endpoint.service)
         if trial is None:
             return
-        trial.note_answer(
+        trial.record_answer(
             endpoint, route=route, answers=answers, failures=failures, took=took
         )
         if trial.rollout.is_new(endpoint):
@@ -231,15 +231,15 @@
             for _ in range(failures):
                 self._metrics.count(Metric.TRIAL_FAILURES, endpoint.service)
 
-    def hear(self, news: RolloutNews) -> None:
+    def receive(self, news: RolloutNews) -> None:
         """Take in what other hosts counted and found, and hand it on."""
         for trial in self._trials_by_service.values():
             if trial.order.id != news.order_id:
                 continue
             for evidence in news.hosts:
-                if trial.hear(evidence):
+                if trial.receive(evidence):
                     key = (news.order_id, evidence.host_id, evidence.life)
-                    self._steps_left[key] = TOLD_STEPS
+                    self._steps_left[key] = SENT_STEPS
 
     async def run(self) -> None:
         """Look at the roll-outs under way, for ever; without one, wait for an order."""
@@ -260,7 +260,7 @@
 
     async def _look(self, trial: RolloutTrial) -> None:
         endpoints = self._catalog.endpoints_of(trial.order.service)
-        usable = {item.id for item in endpoints if self._fleet.is_sound(item.id)}
+        usable = {item.id for item in endpoints if self._fleet.is_healthy(item.id)}
         trial.look(endpoints, usable)
         verdict = trial.judge()
         if verdict.is_bad:
@@ -294,10 +294,10 @@
 
     def _has_moved(self, trial: RolloutTrial) -> bool:
         """Return whether no host in reach needs the version before any more."""
-        if self._clock.monotonic() - trial.rollout.state_since < LEAST_MOVE:
+        if self._clock.monotonic() - trial.rollout.state_since < MIN_MOVE:
             return False
         ids = [self._host_id, *(row.host_id for row in self._roster.others())]
-        told = (trial.board.newest_of(host_id) for host_id in ids)
+        told = (trial.evidence_table.newest_of(host_id) for host_id in ids)
         return all(
             item is not None
             and item.state == RolloutState.COMPLETING
@@ -360,7 +360,7 @@
 
     def _tell_state(self, trial: RolloutTrial) -> None:
         """Tell the others where this host stands, and now and then what it counted."""
-        own = trial.board.own
+        own = trial.evidence_table.own
         open_before = self._fleet.count_open(
             trial.order.service, lambda endpoint: not trial.rollout.is_new(endpoint)
         )
@@ -368,21 +368,21 @@
         is_moving = state is RolloutState.COMPLETING
         open_before = open_before if is_moving else 0
         if (own.state, own.open_before) != (state, open_before):
-            trial.board.tell(state=str(state), open_before=open_before)
+            trial.evidence_table.publish(state=str(state), open_before=open_before)
             self._tell_own_soon(trial)
-        elif self._clock.monotonic() - self._told_at >= TELL_INTERVAL:
+        elif self._clock.monotonic() - self._told_at >= SEND_INTERVAL:
             self._tell_own_soon(trial)
 
     def _tell_own_soon(self, trial: RolloutTrial) -> None:
-        own = trial.board.own
+        own = trial.evidence_table.own
         self._told_at = self._clock.monotonic()
-        self._steps_left[trial.order.id, own.host_id, own.life] = TOLD_STEPS
+        self._steps_left[trial.order.id, own.host_id, own.life] = SENT_STEPS
 
     async def _gossip(self, trial: RolloutTrial) -> None:
         """Tell some linked hosts what is new."""
         fresh = [
             item
-            for item in trial.board.hosts()
+            for item in trial.evidence_table.hosts()
             if self._steps_left.get((trial.order.id, item.host_id, item.life))
         ]
         if not fresh:
@@ -391,7 +391,9 @@
             self._steps_left[trial.order.id, item.host_id, item.life] -= 1
         linked = [row.host_id for row in self._roster.linked()]
         told = self._rng.sample(linked, min(FANOUT, len(linked)))
-        await self._peers.tell(told, RolloutNews(order_id=trial.order.id, hosts=fresh))
+        await self._peers.send_message(
+            told, RolloutNews(order_id=trial.order.id, hosts=fresh)
+        )
 
     def _withdraw(self, trial: RolloutTrial, *, why: str) -> None:
         self._loans.stop_lending(trial.order.id)
--- a/passtally/roster.py
+++ b/passtally/roster.py
@@ -5,7 +5,7 @@
 
 from passtally.clock import Clock
 from passtally.decision import log_event
-from passtally.member_table import MemberTable, pick_found_gone
+from passtally.member_table import MemberTable, pick_dead_hosts
 from passtally.membership import Gossip
 from passtally.messages import MemberRow
 from passtally.peers import Peers
@@ -13,7 +13,7 @@
 from passtally.settings import Address, PeerAddress, parse_address
 
 #: How often links are made to hosts that gossip has told of.
-MEET_INTERVAL = timedelta(milliseconds=500)
+LINK_INTERVAL = timedelta(milliseconds=500)
 #: How long links take to come up before the first message.
 CONNECT_PAUSE = timedelta(milliseconds=50)
 #: Up to so many hosts all link to each other.
@@ -59,7 +59,7 @@
 
     def others(self) -> list[MemberRow]:
         """Return the rows of the other hosts that are in reach."""
-        return self._table.in_reach()
+        return self._table.reachable()
 
     def use_seeds(self, seeds: Sequence[Address]) -> None:
         """Take other seeds; links to those of before that nobody answered on end."""
@@ -67,15 +67,15 @@
         kept = {f"{SEED_PREFIX}{address}" for address in seeds}
         for host_id in self._peers.ids:
             if host_id.startswith(SEED_PREFIX) and host_id not in kept:
-                self._peers.forget(host_id)
-        self.meet_seeds()
+                self._peers.remove_peer(host_id)
+        self.link_seeds()
 
-    def meet_seeds(self) -> None:
+    def link_seeds(self) -> None:
         """Open links to the seeds, by their addresses alone."""
         own = self._table.own.address
         for address in self._seeds:
             if str(address) != own and not self._peers.find(address):
-                self._peers.meet(
+                self._peers.add_peer(
                     PeerAddress(
                         host_id=f"{SEED_PREFIX}{address}",
                         failure_domain="",
@@ -85,14 +85,14 @@
 
     async def run(self, gossip: Gossip) -> None:
         """Open links to hosts that gossip has told of, for ever."""
-        self.meet_seeds()
+        self.link_seeds()
         await self._clock.sleep(CONNECT_PAUSE)
-        await gossip.tell()
+        await gossip.run_round()
         while True:
-            self.meet()
-            await self._clock.sleep(MEET_INTERVAL)
+            self.update_links()
+            await self._clock.sleep(LINK_INTERVAL)
 
-    def meet(self) -> None:
+    def update_links(self) -> None:
         """Open links to the hosts that it is this host's part to know."""
         sources = frozenset(self.source_ids)
         chosen_by = (self._table.revision, self.links_domain, sources)
@@ -104,8 +104,8 @@
         chosen = choose_links(self._table.own, rows, whole_domain=self.links_domain)
         chosen += [row for row in rows if row.host_id in self.source_ids]
         # A name that this host had before is gone, too.
-        gone = [row for row in self._table.gone() if row.address != own_address]
-        chosen += pick_found_gone(gone, [self._table.own, *rows])
+        dead = [row for row in self._table.dead() if row.address != own_address]
+        chosen += pick_dead_hosts(dead, [self._table.own, *rows])
         rows_by_id = {row.host_id: row for row in chosen if row.address}
         self._let_go(rows_by_id)
         for row in rows_by_id.values():
@@ -114,14 +114,14 @@
         # Noted last: what could not be opened is tried again.
         self._chosen_by = chosen_by
         if not rows:
-            self.meet_seeds()
+            self.link_seeds()
 
     def _link(self, row: MemberRow) -> None:
         address = parse_address(row.address)
         self._forget_seed(address)
         if row.host_id not in self._peers.ids:
             log_event("roster", "Met.", peer=row.host_id, address=row.address)
-        self._peers.meet(
+        self._peers.add_peer(
             PeerAddress(
                 host_id=row.host_id, failure_domain=row.failure_domain, address=address
             )
@@ -131,10 +131,10 @@
         for host_id in self._peers.ids:
             if host_id not in kept_ids and not host_id.startswith(SEED_PREFIX):
                 log_event("roster", "Let go.", peer=host_id)
-                self._peers.forget(host_id)
+                self._peers.remove_peer(host_id)
 
     @property
-    def hears_all(self) -> bool:
+    def is_fully_linked(self) -> bool:
         """Whether all hosts in reach are linked to each other."""
         return len(self.others()) < MAX_LINKS
 
@@ -177,7 +177,7 @@
     def _forget_seed(self, address: Address) -> None:
         for host_id in self._peers.find(address):
             if host_id.startswith(SEED_PREFIX):
-                self._peers.forget(host_id)
+                self._peers.remove_peer(host_id)
 
 
 def choose_links(
--- a/passtally/routes.py
+++ b/passtally/routes.py
@@ -180,7 +180,7 @@
 
 
 @attrs.define(kw_only=True)
-class RoutesInForce:
+class ActiveRoutes:
     """The newest set of routes that this host knows.
 
     Attributes:
--- a/passtally/routing.py
+++ b/passtally/routing.py
@@ -24,16 +24,16 @@
         max_streams: How many it takes at once.
         ejected_until: Until when it gets no new work, on the monotonic clock.
         resume_tokens: Tokens that this host's resumes still make it read.
-        is_shaky: Whether a run was lost in its failure domain a moment ago, or a call
-            by the endpoint itself.
-        is_on_trial: Whether a request is under way that shows whether it is back.
-        held_tokens: Tokens in its memory for this host's runs and replicas.
-        reading_tokens: Tokens of prompts that it is still to read, all hosts' as far
+        is_unstable: Whether a run was lost in its failure domain a moment ago, or a
+            call by the endpoint itself.
+        is_half_open: Whether a request is under way that shows whether it is back.
+        kv_tokens: Tokens in its memory for this host's runs and replicas.
+        prefill_tokens: Tokens of prompts that it is still to read, all hosts' as far
             as they are known.
         running_streams: Streams there that have output already, all hosts' as far as
             they are known.
         capacity_tokens: The tokens that its memory holds; 0 where that is not known.
-        may_be_sent: Whether the limit that it names has room for a request of this
+        accepts_requests: Whether the limit that it names has room for a request of this
             host, and it has not asked this host for rest.
     """
 
@@ -47,13 +47,13 @@
     report_age: timedelta = timedelta(0)
     ejected_until: timedelta | None = None
     resume_tokens: int = 0
-    is_shaky: bool = False
-    is_on_trial: bool = False
-    held_tokens: int = 0
-    reading_tokens: int = 0
+    is_unstable: bool = False
+    is_half_open: bool = False
+    kv_tokens: int = 0
+    prefill_tokens: int = 0
     running_streams: int = 0
     capacity_tokens: int = 0
-    may_be_sent: bool = True
+    accepts_requests: bool = True
 
     @property
     def taken(self) -> int:
@@ -73,7 +73,7 @@
         places = self.taken / self.max_streams
         if not self.capacity_tokens:
             return places
-        return max(places, self.held_tokens / self.capacity_tokens)
+        return max(places, self.kv_tokens / self.capacity_tokens)
 
 
 @attrs.frozen(kw_only=True)
@@ -130,7 +130,7 @@
 SLACK = 0.05
 #: What a stream that runs at an endpoint counts there, as a part of the prompt that is
 #: to be read: while an engine reads, a step takes some six times as long.
-HELD_UP_PART = 0.8
+PREFILL_STALL_SHARE = 0.8
 #: Another failure domain counts as so many more tokens to read: a fifth of a prompt.
 FAR_TOKENS = 1_000
 #: Endpoints count as equal within so many tokens.
@@ -162,7 +162,7 @@
     """
     allowed = [view for view in endpoints if _is_allowed(view, query)]
     usable = [view for view in allowed if not _is_ejected(view, now)] or allowed
-    usable = [view for view in usable if not view.is_shaky] or usable
+    usable = [view for view in usable if not view.is_unstable] or usable
     if not usable:
         return RouteDecision(
             endpoint_id=None, candidates=(), reason="no usable endpoint"
@@ -232,7 +232,7 @@
         is_far = view.failure_domain != query.failure_domain
         is_busy = view.load >= BUSY_LOAD
         rank = affinity_rank(query.affinity, view.id)
-        return shares_domain, view.is_shaky, is_busy, is_far, view.load, rank
+        return shares_domain, view.is_unstable, is_busy, is_far, view.load, rank
 
     return min(usable, key=cost).id if usable else ""
 
@@ -250,11 +250,11 @@
 
     def cost(view: EndpointView) -> tuple[int, bytes]:
         # What is still being read there will run, and be held up, by its turn.
-        ahead = view.reading_tokens + query.prompt_tokens * view.running_streams
-        tokens = view.reading_tokens + HELD_UP_PART * ahead
+        ahead = view.prefill_tokens + query.prompt_tokens * view.running_streams
+        tokens = view.prefill_tokens + PREFILL_STALL_SHARE * ahead
         if view.failure_domain != query.failure_domain:
             tokens += FAR_TOKENS
-        overflow = view.held_tokens + query.tokens - view.capacity_tokens
+        overflow = view.kv_tokens + query.tokens - view.capacity_tokens
         if overflow > 0:
             # It waits until runs have ended there, or makes one be read again.
             tokens += overflow + query.prompt_tokens
@@ -265,7 +265,7 @@
     return RouteDecision(
         endpoint_id=ranked[0].id,
         candidates=tuple(
-            f"{view.id}:{view.reading_tokens}+{view.running_streams}"
+            f"{view.id}:{view.prefill_tokens}+{view.running_streams}"
             for view in ranked[:MAX_LOGGED]
         ),
         reason="least to read",
@@ -317,8 +317,8 @@
 
 
 def _is_allowed(view: EndpointView, query: RouteQuery) -> bool:
-    is_open = view.state is EndpointState.ACTIVE and not view.is_on_trial
-    return is_open and view.may_be_sent and view.id not in query.exclude
+    is_open = view.state is EndpointState.ACTIVE and not view.is_half_open
+    return is_open and view.accepts_requests and view.id not in query.exclude
 
 
 def _is_ejected(view: EndpointView, now: timedelta) -> bool:
--- a/passtally/sequential_test.py
+++ b/passtally/sequential_test.py
@@ -42,13 +42,13 @@
     """Weighs one rate against all above it, and another against all below it.
 
     Attributes:
-        usual: The rate that is not held against what is tested.
+        baseline: The rate that is not held against what is tested.
         tolerated: The rate that must be ruled out before it is found low.
         error: The chance to find a rate high that is at most the usual one, or low
             that is at least the tolerated one, at any look.
     """
 
-    usual: float
+    baseline: float
     tolerated: float
     error: float
 
@@ -57,8 +57,8 @@
 
     @_above.default
     def _make_above(self) -> Sequence["_LogRatio"]:
-        rates = (self.usual + (1 - self.usual) * part for part in _PARTS)
-        return tuple(_LogRatio.of(rate, self.usual) for rate in rates)
+        rates = (self.baseline + (1 - self.baseline) * part for part in _PARTS)
+        return tuple(_LogRatio.of(rate, self.baseline) for rate in rates)
 
     @_below.default
     def _make_below(self) -> Sequence["_LogRatio"]:
@@ -80,18 +80,18 @@
     """Wald's test of two rates.
 
     Attributes:
-        usual: The one rate.
+        baseline: The one rate.
         high: The other.
         error: The chance of either error.
     """
 
-    usual: float
+    baseline: float
     high: float
     error: float
 
     def judge(self, trials: int, hits: int) -> Finding:
         """Return what so many hits of so many trials show."""
-        ratio = _LogRatio.of(self.high, self.usual).weigh(trials, hits)
+        ratio = _LogRatio.of(self.high, self.baseline).weigh(trials, hits)
         bound = math.log((1 - self.error) / self.error)
         if ratio >= bound:
             return Finding.HIGH
--- a/passtally/settings_change.py
+++ b/passtally/settings_change.py
@@ -11,7 +11,7 @@
 #: Settings whose values are not to be read in a log.
 SECRETS = frozenset(("resume_keys", "operator_token"))
 
-Take = Callable[[], None]
+Apply = Callable[[], None]
 
 
 @attrs.frozen(kw_only=True)
@@ -48,7 +48,7 @@
     return [change for change in changes if change.was != change.told]
 
 
-def keep_untakeable(
+def keep_unappliable(
     was: Settings, told: Settings, *, takeable: Mapping[str, object]
 ) -> Settings:
     """Return the settings that come in force on a running host. Pure.
@@ -66,8 +66,8 @@
     return attrs.evolve(told, **kept)
 
 
-def hand_out(
-    changes: Sequence[SettingChange], *, takers_by_name: Mapping[str, Take]
+def apply_changes(
+    changes: Sequence[SettingChange], *, appliers_by_name: Mapping[str, Apply]
 ) -> list[SettingChange]:
     """Let the parts of a host take the settings that changed, and tell of each.
 
@@ -75,12 +75,12 @@
 
     Args:
         changes: What changed.
-        takers_by_name: What takes each setting; some take several at once.
+        appliers_by_name: What takes each setting; some take several at once.
 
     Returns:
         The changes that could not be taken, though there is something that takes them.
     """
-    takers = {change.name: takers_by_name.get(change.name) for change in changes}
+    takers = {change.name: appliers_by_name.get(change.name) for change in changes}
     errors_by_taker = {take: _try(take) for take in set(takers.values()) if take}
     failed: list[SettingChange] = []
     for change in changes:
@@ -96,7 +96,7 @@
     return failed
 
 
-def _try(take: Take) -> Exception | None:
+def _try(take: Apply) -> Exception | None:
     try:
         take()
     except Exception as error:
--- a/passtally/watch_share.py
+++ b/passtally/shared_watch.py
@@ -2,7 +2,7 @@
 
 Each call to the platform is paid for, and each change wakes every watch. In a large
 failure domain a few hosts watch and pass changes on to all others there; each host
-lists once when it starts. :mod:`passtally.watch_duty` decides who watches.
+lists once when it starts. :mod:`passtally.watcher_election` decides who watches.
 
 A host whose own watch is down learns from the others
 (:mod:`passtally.view_learner`).
@@ -34,13 +34,13 @@
 from passtally.supervisor import Work, keep_running
 from passtally.view import View
 from passtally.view_learner import ViewLearner
-from passtally.watch_duty import WatchDuty
+from passtally.watcher_election import WatcherElection
 
 #: How often watchers tell the versions that they know.
-BEAT_INTERVAL = timedelta(milliseconds=500)
+HEARTBEAT_INTERVAL = timedelta(milliseconds=500)
 #: A watcher that was not heard for this long counts as gone. A change must be in
 #: force within two seconds, listing included.
-BEAT_TIMEOUT = timedelta(milliseconds=1300)
+WATCHER_TIMEOUT = timedelta(milliseconds=1300)
 CHECK_INTERVAL = timedelta(milliseconds=100)
 #: How often, and how many others, a host that hears no watcher asks whether they are
 #: there. One that is cut off from all others but reaches the store is behind for 2.6 s
@@ -49,7 +49,7 @@
 PROBED_HOSTS = 3
 
 
-class WatchShare:
+class SharedWatch:
     """Keeps views up to date, from the platform or from peers.
 
     Args:
@@ -68,7 +68,7 @@
         *,
         host_id: str,
         views: Sequence[View],
-        follow: Callable[["WatchShare", View], Follower],
+        follow: Callable[["SharedWatch", View], Follower],
         peers: Peers,
         roster: Roster,
         clock: Clock,
@@ -95,8 +95,8 @@
             learned=self._tell,
         )
         self._tasks: set[asyncio.Task[None]] = set()
-        self._duty = WatchDuty(own_id=host_id, started_at=clock.monotonic())
-        self._is_reached = False
+        self._election = WatcherElection(own_id=host_id, started_at=clock.monotonic())
+        self._is_receiving = False
         #: Whether no host of this domain answered when no watcher was heard. This host
         #: is then to watch at once; gossip lets go of the others only after some 12 s.
         self._is_cut_off = False
@@ -104,17 +104,17 @@
         self._follow = follow
         for view in views:
             view.follower = follow(self, view)
-        peers.listen(ViewBeat, self._hear_beat)
+        peers.listen(ViewBeat, self._receive_heartbeat)
 
     @property
     def is_watching(self) -> bool:
         """Whether this host is to watch."""
-        return self._duty.is_watching
+        return self._election.is_watching
 
     @property
-    def is_reached(self) -> bool:
+    def is_receiving(self) -> bool:
         """Whether changes arrive, from the platform or from a host that watches."""
-        return self._is_reached
+        return self._is_receiving
 
     @property
     def is_up(self) -> bool:
@@ -141,14 +141,14 @@
 
     def rename(self, host_id: str) -> None:
         """Take in that this host has another name."""
-        self._host_id = self._duty.own_id = host_id
+        self._host_id = self._election.own_id = host_id
         self._learner.rename(host_id)
 
     def add(self, view: View) -> None:
         """Keep one more view up to date."""
         view.follower = self._follow(self, view)
         self._views_by_prefix[view.prefix] = view
-        if self._duty.is_watching:
+        if self._election.is_watching:
             self._watch(view)
 
     def remove(self, prefix: str) -> None:
@@ -157,7 +157,7 @@
         if view.task is not None:
             view.task.cancel()
 
-    def list_anew(self) -> None:
+    def relist(self) -> None:
         """Begin anew at the store, whose address has changed.
 
         What waits at the old address would keep this host from the new one, for ever
@@ -168,7 +168,7 @@
             view.follower.is_watching = False
             if view.task is not None:
                 view.task.cancel()
-            if self._duty.is_watching:
+            if self._election.is_watching:
                 self._watch(view, after=0)
             elif view.is_vital:
                 view.task = self._keep_running(view, view.follower.learn)
@@ -191,9 +191,9 @@
             self._look_for_others(now)
             self._decide(now)
             # Only who hears changes has something to tell to its whole domain.
-            self._roster.links_domain = self._duty.is_watching and self.is_up
-            self._note_reach(now)
-            if self.is_up and now - beat_at >= BEAT_INTERVAL:
+            self._roster.links_domain = self._election.is_watching and self.is_up
+            self._record_reachability(now)
+            if self.is_up and now - beat_at >= HEARTBEAT_INTERVAL:
                 beat_at = now
                 await self._tell()
             self._learner.catch_up(now)
@@ -243,8 +243,8 @@
             domain_ids.update(self._roster.domain_ids())
         watching_ids = domain_ids.intersection(self._watching(now))
         self._roster.source_ids = watching_ids
-        was_watching = self._duty.is_watching
-        wants = self._duty.decide(domain_ids, watching_ids, now=now)
+        was_watching = self._election.is_watching
+        wants = self._election.decide(domain_ids, watching_ids, now=now)
         if wants and not was_watching:
             self._start(len(domain_ids), len(watching_ids))
         elif was_watching and not wants:
@@ -289,20 +289,20 @@
                 host_id=self._host_id,
                 large=large,
             )
-            self._spawn(self._peers.tell(learners, news))
+            self._spawn(self._peers.send_message(learners, news))
 
-    def _hear_beat(self, beat: ViewBeat) -> None:
-        self._learner.note_versions(beat.host_id, beat.versions_by_prefix)
+    def _receive_heartbeat(self, beat: ViewBeat) -> None:
+        self._learner.record_versions(beat.host_id, beat.versions_by_prefix)
         if beat.is_watching:
             self._watching_at_by_host[beat.host_id] = self._clock.monotonic()
         else:
             self._watching_at_by_host.pop(beat.host_id, None)
 
-    def _note_reach(self, now: timedelta) -> None:
-        is_reached = self.is_up or bool(self._watching(now))
-        if is_reached != self._is_reached:
-            self._is_reached = is_reached
-            self._reach_changed(is_reached)
+    def _record_reachability(self, now: timedelta) -> None:
+        is_receiving = self.is_up or bool(self._watching(now))
+        if is_receiving != self._is_receiving:
+            self._is_receiving = is_receiving
+            self._reach_changed(is_receiving)
 
     async def _tell(self) -> None:
         """Tell the linked hosts of this domain what this host knows."""
@@ -311,7 +311,7 @@
             versions_by_prefix=self.newest(),
             is_watching=self.is_up,
         )
-        await self._peers.tell(self._neighbours(), beat)
+        await self._peers.send_message(self._neighbours(), beat)
 
     def newest(self) -> dict[str, int]:
         """Return the newest version of an object known under each prefix."""
@@ -322,8 +322,8 @@
     def _watching(self, now: timedelta) -> list[str]:
         return [
             host_id
-            for host_id, heard_at in self._watching_at_by_host.items()
-            if now - heard_at < BEAT_TIMEOUT
+            for host_id, last_contact_at in self._watching_at_by_host.items()
+            if now - last_contact_at < WATCHER_TIMEOUT
         ]
 
     def _neighbours(self) -> list[str]:
--- a/passtally/status.py
+++ b/passtally/status.py
@@ -115,7 +115,7 @@
 
 
 def _peer_status(view: MemberView) -> PeerStatus:
-    ago = view.heard_ago
+    ago = view.since_contact
     return PeerStatus(
         id=view.id,
         failure_domain=view.failure_domain,
--- a/passtally/survey.py
+++ b/passtally/survey.py
@@ -25,11 +25,11 @@
 
     Attributes:
         endpoint_id: The one where the least waits.
-        unread_by_id: The runs without output at each one that answered.
+        waiting_by_id: The runs without output at each one that answered.
     """
 
     endpoint_id: str
-    unread_by_id: dict[str, int]
+    waiting_by_id: dict[str, int]
 
 
 class Survey:
@@ -52,28 +52,28 @@
         Args:
             ranked: The candidates' ids, the best first.
         """
-        unread_by_id: dict[str, int] = {}
+        waiting_by_id: dict[str, int] = {}
         if not self._is_needed():
-            return SurveyResult(endpoint_id=ranked[0], unread_by_id=unread_by_id)
+            return SurveyResult(endpoint_id=ranked[0], waiting_by_id=waiting_by_id)
         for endpoint_id in ranked[:MAX_ASKED]:
             unread = await self._ask(endpoint_id)
             if unread is not None:
-                unread_by_id[endpoint_id] = unread
+                waiting_by_id[endpoint_id] = unread
             if unread == 0:
                 break
-        best = min(unread_by_id, key=unread_by_id.__getitem__, default=ranked[0])
-        return SurveyResult(endpoint_id=best, unread_by_id=unread_by_id)
+        best = min(waiting_by_id, key=waiting_by_id.__getitem__, default=ranked[0])
+        return SurveyResult(endpoint_id=best, waiting_by_id=waiting_by_id)
 
     async def _ask(self, endpoint_id: str) -> int | None:
         live = self._fleet.find(endpoint_id)
         if live is None:
             return None
         try:
-            unread = await live.engine.count_unread()
+            unread = await live.engine.count_waiting()
         except AttemptLostError as loss:
             log_event("survey", "No report.", peer=endpoint_id, why=loss)
             if loss.kind is LossKind.REPLACED:
-                self._fleet.note_replaced(live, loss.successor)
+                self._fleet.record_replaced(live, loss.successor)
             return None
         # The report may be older than this host's own last runs.
-        return max(unread, live.unread_streams)
+        return max(unread, live.waiting_streams)
--- a/passtally/version_evidence.py
+++ b/passtally/version_evidence.py
@@ -74,7 +74,7 @@
     tried_by_route: Mapping[str, Mapping[str, Tally]]
 
 
-class EvidenceBoard:
+class EvidenceTable:
     """What all hosts counted in one roll-out, each host's own counts once.
 
     A host tells its own counts alone, which only grow, so that news may come twice,
@@ -125,9 +125,9 @@
             failures=known.failures + failures,
             times=times,
         )
-        self.tell(counts=list(counts_by_kind.values()))
+        self.publish(counts=list(counts_by_kind.values()))
 
-    def tell(self, **changes: object) -> None:
+    def publish(self, **changes: object) -> None:
         """Change what this host tells of itself."""
         fields = {name: getattr(self.own, name) for name in self.own.__struct_fields__}
         fields |= changes | {"revision": self.own.revision + 1}
@@ -157,14 +157,14 @@
 
     def sum_up(self) -> Evidence:
         """Return the counts of all hosts together, as they are now."""
-        usual: dict[str, Tally] = {}
+        baseline: dict[str, Tally] = {}
         tried: dict[str, dict[str, Tally]] = {}
         for (route, endpoint_id), tally in self._totals.items():
             if endpoint_id:
                 tried.setdefault(route, {})[endpoint_id] = tally.copy()
             else:
-                usual[route] = tally.copy()
-        return Evidence(usual_by_route=usual, tried_by_route=tried)
+                baseline[route] = tally.copy()
+        return Evidence(usual_by_route=baseline, tried_by_route=tried)
 
     def _add_up(self, before: HostEvidence | None, after: HostEvidence) -> None:
         known = {} if before is None else _by_kind(before)
--- a/passtally/version_judge.py
+++ b/passtally/version_judge.py
@@ -20,9 +20,9 @@
 #: The chance that a version is found good that fails or is slow as often as tolerated.
 MISS = 0.1
 #: How many answers of the version before make its rates known well enough.
-LEAST_USUAL = 20
+MIN_BASELINE = 20
 #: A rate below this is not told from it: one failure in some dozen answers is chance.
-LEAST_RATE = 0.02
+MIN_RATE = 0.02
 #: An answer is slow if it takes longer than all but this part of the usual ones. One of
 #: a version that takes twice as long then is slow about every second time.
 SLOW_PART = 0.1
@@ -41,13 +41,13 @@
 MakeTest = Callable[[float, float, float], RateTest]
 
 
-def make_mixture_test(usual: float, tolerated: float, error: float) -> RateTest:
+def make_mixture_test(baseline: float, tolerated: float, error: float) -> RateTest:
     """Return the test that is used.
 
     It needs no rate to be named for a bad version. Of 40 roll-outs a kind, played in
     virtual time, it and Wald's test complete about as many good and bad ones.
     """
-    return MixtureTest(usual=usual, tolerated=tolerated, error=error)
+    return MixtureTest(baseline=baseline, tolerated=tolerated, error=error)
 
 
 @attrs.frozen(kw_only=True)
@@ -64,7 +64,7 @@
     """Trials of one measure, by endpoint of the new version."""
 
     measure: str
-    usual: float
+    baseline: float
     counts_by_endpoint: Mapping[str, tuple[int, int]]
     tolerated: float
 
@@ -126,7 +126,7 @@
         if len(sample.counts_by_endpoint) == 1:
             return True
         trials, hits = sample.without_worst()
-        test = self._make_test(sample.usual, sample.tolerated, ERROR_WITHOUT_WORST)
+        test = self._make_test(sample.baseline, sample.tolerated, ERROR_WITHOUT_WORST)
         return test.judge(trials, hits) is Finding.HIGH
 
     def _is_good(self, evidence: Evidence, samples: Sequence[_Sample]) -> bool:
@@ -134,7 +134,7 @@
         known = [
             route
             for route, tally in evidence.usual_by_route.items()
-            if tally.answers >= LEAST_USUAL
+            if tally.answers >= MIN_BASELINE
         ]
         is_seen = all(route in evidence.tried_by_route for route in known)
         return (
@@ -144,7 +144,7 @@
         )
 
     def _find(self, sample: _Sample, error: float) -> Finding:
-        test = self._make_test(sample.usual, sample.tolerated, error)
+        test = self._make_test(sample.baseline, sample.tolerated, error)
         return test.judge(sample.trials, sample.hits)
 
 
@@ -171,28 +171,28 @@
     """Return the measures of a span, held against the same span where it has enough."""
     failing: list[tuple[Tally, Mapping[str, Tally]]] = []
     for route, by_endpoint in span.tried_by_route.items():
-        usual = span.usual_by_route.get(route, Tally())
-        is_alone = has_moved or usual.answers < LEAST_USUAL
-        if usual.answers < LEAST_USUAL:
-            usual = whole.usual_by_route.get(route, Tally())
-        if usual.answers < LEAST_USUAL:
+        baseline = span.usual_by_route.get(route, Tally())
+        is_alone = has_moved or baseline.answers < MIN_BASELINE
+        if baseline.answers < MIN_BASELINE:
+            baseline = whole.usual_by_route.get(route, Tally())
+        if baseline.answers < MIN_BASELINE:
             continue
         if any(tally.answers for tally in by_endpoint.values()):
-            failing.append((usual, by_endpoint))
-            yield _failures(route, usual, by_endpoint)
-        if usual.times.total() >= LEAST_USUAL and any(
+            failing.append((baseline, by_endpoint))
+            yield _failures(route, baseline, by_endpoint)
+        if baseline.times.total() >= MIN_BASELINE and any(
             tally.times for tally in by_endpoint.values()
         ):
-            yield _slowness(route, usual, by_endpoint, is_alone=is_alone)
+            yield _slowness(route, baseline, by_endpoint, is_alone=is_alone)
     if len(failing) > 1:
         yield _all_failures(failing)
 
 
-def _failures(route: str, usual: Tally, tried: Mapping[str, Tally]) -> _Sample:
-    rate = _usual_rate(usual.failures, usual.answers)
+def _failures(route: str, baseline: Tally, tried: Mapping[str, Tally]) -> _Sample:
+    rate = _usual_rate(baseline.failures, baseline.answers)
     return _Sample(
         measure=f"failures on {route}",
-        usual=rate,
+        baseline=rate,
         tolerated=min(rate + TOLERATED_ON_ROUTE, 0.95),
         counts_by_endpoint={
             name: (tally.answers, tally.failures) for name, tally in tried.items()
@@ -201,13 +201,13 @@
 
 
 def _slowness(
-    route: str, usual: Tally, tried: Mapping[str, Tally], *, is_alone: bool
+    route: str, baseline: Tally, tried: Mapping[str, Tally], *, is_alone: bool
 ) -> _Sample:
-    bucket = _slow_above(usual) + (ALONE_BUCKETS if is_alone else 0)
-    rate = _usual_rate(usual.count_slower(bucket), usual.times.total())
+    bucket = _slow_above(baseline) + (ALONE_BUCKETS if is_alone else 0)
+    rate = _usual_rate(baseline.count_slower(bucket), baseline.times.total())
     return _Sample(
         measure=f"slow answers on {route}",
-        usual=rate,
+        baseline=rate,
         tolerated=min(rate + TOLERATED_SLOW, 0.95),
         counts_by_endpoint={
             name: (tally.times.total(), tally.count_slower(bucket))
@@ -220,18 +220,18 @@
     """Return the failures of all routes together, with the mix of the tried ones."""
     tried_by_endpoint: dict[str, Tally] = {}
     expected = 0.0
-    for usual, by_endpoint in parts:
-        rate = _usual_rate(usual.failures, usual.answers)
+    for baseline, by_endpoint in parts:
+        rate = _usual_rate(baseline.failures, baseline.answers)
         for name, tally in by_endpoint.items():
             total = tried_by_endpoint.setdefault(name, Tally())
             total.answers += tally.answers
             total.failures += tally.failures
             expected += rate * tally.answers
     trials = sum(tally.answers for tally in tried_by_endpoint.values())
-    rate = max(expected / max(trials, 1), LEAST_RATE)
+    rate = max(expected / max(trials, 1), MIN_RATE)
     return _Sample(
         measure="failures on all routes",
-        usual=rate,
+        baseline=rate,
         tolerated=min(rate + TOLERATED_IN_ALL, 0.95),
         counts_by_endpoint={
             name: (tally.answers, tally.failures)
@@ -244,22 +244,22 @@
     """Return a rate of the version before, as high as it may well be."""
     rate = (hits + 1) / (trials + 2)
     error = math.sqrt(rate * (1 - rate) / (trials + 2))
-    return min(max(rate + MARGIN * error, LEAST_RATE), 0.9)
+    return min(max(rate + MARGIN * error, MIN_RATE), 0.9)
 
 
-def _slow_above(usual: Tally) -> int:
+def _slow_above(baseline: Tally) -> int:
     """Return the bucket above which a usual answer is one of the slowest few."""
-    left = SLOW_PART * usual.times.total()
-    for bucket in sorted(usual.times, reverse=True):
-        left -= usual.times[bucket]
+    left = SLOW_PART * baseline.times.total()
+    for bucket in sorted(baseline.times, reverse=True):
+        left -= baseline.times[bucket]
         if left < 0:
             return bucket
-    return min(usual.times, default=0)
+    return min(baseline.times, default=0)
 
 
 def _describe(sample: _Sample) -> str:
     return (
         f"{sample.measure}: {sample.hits} of {sample.trials} at"
         f" {len(sample.counts_by_endpoint)} endpoints, where up to"
-        f" {sample.usual:.3f} are usual"
+        f" {sample.baseline:.3f} are usual"
     )
--- a/passtally/versions.py
+++ b/passtally/versions.py
@@ -15,13 +15,13 @@
     def is_tried(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint may get requests that try a new version."""
 
-    def take_trial(self, service: str) -> bool:
+    def acquire_trial(self, service: str) -> bool:
         """Count a new request, and return whether it is to try a new version."""
 
-    def give_back(self, service: str) -> None:
+    def release(self, service: str) -> None:
         """Leave a trial to another request: no endpoint could take it."""
 
-    def note_answer(
+    def record_answer(
         self,
         endpoint: Endpoint,
         *,
@@ -52,14 +52,14 @@
         """Return False."""
         return False
 
-    def take_trial(self, service: str) -> bool:
+    def acquire_trial(self, service: str) -> bool:
         """Return False."""
         return False
 
-    def give_back(self, service: str) -> None:
+    def release(self, service: str) -> None:
         """Do nothing."""
 
-    def note_answer(
+    def record_answer(
         self,
         endpoint: Endpoint,
         *,
--- a/passtally/view_learner.py
+++ b/passtally/view_learner.py
@@ -102,7 +102,7 @@
         self._pace = AnswerPace()
         self._tasks: set[asyncio.Task[None]] = set()
         peers.on(FetchConfig, self._answer)
-        peers.listen(ViewChanges, self.hear_changes)
+        peers.listen(ViewChanges, self.receive_changes)
 
     def rename(self, host_id: str) -> None:
         """Take in that this host has another name."""
@@ -116,14 +116,14 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def hear_changes(self, news: ViewChanges) -> None:
+    def receive_changes(self, news: ViewChanges) -> None:
         """Take in what a host that watches tells."""
         view = self._views_by_prefix.get(news.prefix)
         if view is None:
             return
         if news.large:
             newest = max(ref.version for ref in news.large)
-            self.note_versions(news.host_id, {news.prefix: newest})
+            self.record_versions(news.host_id, {news.prefix: newest})
         # With a gap before them the changes are asked for.
         if news.since > view.mirror.newest:
             return
@@ -132,7 +132,7 @@
         elif not self._is_up() and view.prefix not in self._fetching:
             self._spawn(self._take_in(view, news.host_id, news.listing, news.large))
 
-    def note_versions(self, host_id: str, versions: Mapping[str, int]) -> None:
+    def record_versions(self, host_id: str, versions: Mapping[str, int]) -> None:
         """Take in what a host says that it knows."""
         known = self._versions_by_host.get(host_id, {})
         self._versions_by_host[host_id] = {**known, **versions}
--- a/passtally/watch_duty.py
+++ b/passtally/watcher_election.py
@@ -89,7 +89,7 @@
 
 
 @attrs.define(kw_only=True)
-class WatchDuty:
+class WatcherElection:
     """Whether one host watches, from moment to moment.
 
     Attributes:
--- a/soak/requests.py
+++ b/soak/requests.py
@@ -31,7 +31,7 @@
 
     def __init__(self, *, world: World, evidence: Evidence, rng: random.Random) -> None:
         super().__init__(world=world, evidence=evidence, rng=rng)
-        world.on_crash = self._note_crash
+        world.on_crash = self._record_crash
         self._ended_by_body: dict[bytes, int] = {}
         self.faults_by_name = {
             "fatal request": Fault(weight=2, run=self._send_fatal),
@@ -97,7 +97,7 @@
             # Its caller gets nothing, or the host is away: it is sent again anyway.
             return
 
-    def _note_crash(self, place: Place, runner: SeenRunner) -> None:
+    def _record_crash(self, place: Place, runner: SeenRunner) -> None:
         for body in self._ended_by_body:
             if body in runner.bodies:
                 self._ended_by_body[body] += 1
--- a/soak/starts.py
+++ b/soak/starts.py
@@ -16,7 +16,7 @@
 #: The longest time between two kills in a row, and between two signals to stop.
 SERIES_SECONDS = 0.5
 #: The longest time that another socket has a host's address, in seconds.
-LONGEST_HOLD = 3.0
+MAX_HOLD = 3.0
 
 
 class StartSaboteur(FaultSeries):
@@ -97,7 +97,7 @@
 
     async def _hold_address(self, lasts: float) -> None:
         """Let another socket have one of a host's addresses around its start."""
-        host, lasts = self._draw_host(), min(lasts, LONGEST_HOLD)
+        host, lasts = self._draw_host(), min(lasts, MAX_HOLD)
         name = self._rng.choice(sorted(host.addresses_by_name))
         began_at = now()
         await self._kill(host)
--- a/soak/world.py
+++ b/soak/world.py
@@ -196,7 +196,7 @@
             events=EVENTS,
             gap=GAP_SECONDS,
             find=self._find,
-            on_crash=lambda runner: self._note_crash(place, runner),
+            on_crash=lambda runner: self._record_crash(place, runner),
         )
         runner.evidence = self.evidence
         if not place.link.is_listening:
@@ -230,7 +230,7 @@
         place.link.reset()
         await runner.stop()
 
-    def _note_crash(self, place: Place, runner: SeenRunner) -> None:
+    def _record_crash(self, place: Place, runner: SeenRunner) -> None:
         """Close the way to an endpoint that a request has ended."""
         if place.runner is runner:
             place.runner = None
--- a/standins/fake_engine.py
+++ b/standins/fake_engine.py
@@ -148,14 +148,14 @@
     async def drop_copy(self, replica_ref: str, target: str) -> None:
         """Do nothing: there are no copies."""
 
-    async def count_unread(self) -> int:
+    async def count_waiting(self) -> int:
         """Return how many runs are queued there."""
         report = await self.probe()
         if report is None:
             raise self._lost(LossKind.FROZEN, "report")
         return report.queued
 
-    async def list_kept_prompts(self) -> tuple[str, ...]:
+    async def list_cached_prompts(self) -> tuple[str, ...]:
         """Return the prompts that it keeps."""
         return ()
 
--- a/standins/rollout_fleet.py
+++ b/standins/rollout_fleet.py
@@ -151,7 +151,7 @@
 
     # What roll-outs ask of a fleet.
 
-    def is_sound(self, endpoint_id: str) -> bool:
+    def is_healthy(self, endpoint_id: str) -> bool:
         return True
 
     def count_open(self, service_id: str, is_counted) -> int:
@@ -179,9 +179,11 @@
         return choose_links(self._row, self.others(), whole_domain=is_watching)
 
     def listen(self, kind: type, listener) -> None:
-        self.hear = listener
+        self.receive = listener
 
-    async def tell(self, host_ids: Sequence[str], news: RolloutNews) -> set[str]:
+    async def send_message(
+        self, host_ids: Sequence[str], news: RolloutNews
+    ) -> set[str]:
         for host_id in host_ids:
             self.model.deliver(self, host_id, news)
         return set(host_ids)
@@ -302,7 +304,7 @@
     @staticmethod
     def _arrive(receiver: ModelHost, news: RolloutNews) -> None:
         if receiver.is_up:
-            receiver.hear(news)
+            receiver.receive(news)
 
     def _start_host(self, name: str, *, life: int) -> None:
         self.hosts[name] = ModelHost(self, name, life)
@@ -368,15 +370,15 @@
         if endpoint is None:
             return
         self._count(endpoint)
-        usual = self.rng.lognormvariate(0, 0.5) * 0.05
-        is_bad, took = self._answer(endpoint, route, usual)
+        baseline = self.rng.lognormvariate(0, 0.5) * 0.05
+        is_bad, took = self._answer(endpoint, route, baseline)
         is_old = endpoint.software == OLD
         host.open_at_old += is_old
         await asyncio.sleep(took)
         host.open_at_old -= is_old
         fails = is_bad or self.rng.random() < self.play.usual_failing
         if host.is_up:
-            host.rollouts.note_answer(
+            host.rollouts.record_answer(
                 endpoint,
                 route=route,
                 answers=1,
@@ -386,29 +388,29 @@
 
     def _choose(self, host: ModelHost) -> Endpoint | None:
         endpoints = self.catalog.endpoints_of(SERVICE)
-        if host.rollouts.take_trial(SERVICE):
+        if host.rollouts.acquire_trial(SERVICE):
             tried = [item for item in endpoints if host.rollouts.is_tried(item)]
             return self.rng.choice(tried)
         allowed = [item for item in endpoints if host.rollouts.allows(item)]
         return self.rng.choice(allowed) if allowed else None
 
     def _answer(
-        self, endpoint: Endpoint, route: str, usual: float
+        self, endpoint: Endpoint, route: str, baseline: float
     ) -> tuple[bool, float]:
         """Return whether the endpoint fails a request, and how long it takes."""
         if endpoint.software == OLD:
-            return False, usual
+            return False, baseline
         if endpoint.id in self._greys and self.rng.random() < 0.4:
-            return True, usual
+            return True, baseline
         version = self.play.version
         age = self._now() - self.ordered_at
         if age < version.from_second or version.on_route not in ("", route):
-            return False, usual
+            return False, baseline
         fails = self.rng.random() < version.failing
         is_slow = version.slower > 1 and self.rng.random() < version.slow_part
         if fails or is_slow:
-            self._note_bad()
-        return fails, usual * (version.slower if is_slow else 1)
+            self._record_bad()
+        return fails, baseline * (version.slower if is_slow else 1)
 
     def _count(self, endpoint: Endpoint) -> None:
         if not self.ordered_at or self._now() > self.ordered_at + self.play.within:
@@ -421,7 +423,7 @@
         if limit is not None and self._now() > limit + 5:
             self.result.after_limit += 1
 
-    def _note_bad(self) -> None:
+    def _record_bad(self) -> None:
         self.result.bad += 1
         if self.result.bad == 50:
             self._limit_at = self._now()
--- a/tests/gossip_fleet.py
+++ b/tests/gossip_fleet.py
@@ -32,10 +32,10 @@
     def on(self, kind: type, answerer) -> None:
         self.answer = answerer
 
-    def meet(self, peer: PeerAddress) -> None:
+    def add_peer(self, peer: PeerAddress) -> None:
         self.ids_by_address[str(peer.address)] = peer.host_id
 
-    def forget(self, host_id: str) -> None:
+    def remove_peer(self, host_id: str) -> None:
         self.ids_by_address = {
             address: name
             for address, name in self.ids_by_address.items()
@@ -88,9 +88,9 @@
         """Let all hosts know each other, as after a long calm time."""
         for node in self.nodes:
             node.table.merge(self.rows, self.clock.monotonic())
-            while node.table.has_news:
-                node.table.take_news(1000)
-            node.roster.meet()
+            while node.table.has_updates:
+                node.table.pop_updates(1000)
+            node.roster.update_links()
 
     def stop(self, rows: Sequence[MemberRow]) -> None:
         for item in rows:
@@ -138,11 +138,11 @@
         """Return how many hosts are wrongly taken as gone, counted by each other."""
         living = {node.id for node in self.nodes}
         return sum(
-            item.host_id in living for node in self.nodes for item in node.table.gone()
+            item.host_id in living for node in self.nodes for item in node.table.dead()
         )
 
     def all_know(self, expected: int) -> bool:
-        return all(len(node.table.in_reach()) == expected for node in self.nodes)
+        return all(len(node.table.reachable()) == expected for node in self.nodes)
 
 
 class Node:
--- a/tests/rated_fleet.py
+++ b/tests/rated_fleet.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from passtally.follower import LAST_RETRY, Follower
+from passtally.follower import MAX_RETRY_DELAY, Follower
 from passtally.messages import MemberRow
 from passtally.object_store import Listing, StoredObject, UnavailableError
+from passtally.shared_watch import SharedWatch
 from passtally.view import View
-from passtally.watch_share import WatchShare
 from standins.virtual import VirtualClock
 from tests.fakes import FakePlatform
 from tests.rated_network import FixedRoster, RatedNetwork, Wire
@@ -151,12 +151,12 @@
         domains: Sequence[str] = ("d",),
         wait: timedelta = timedelta(seconds=2),
         pause: timedelta = timedelta(0),
-        last_retry: timedelta = LAST_RETRY,
+        max_retry_delay: timedelta = MAX_RETRY_DELAY,
         out_of_date_after: timedelta | None = None,
     ) -> None:
         self.wait = wait
         self.pause = pause
-        self.last_retry = last_retry
+        self.max_retry_delay = max_retry_delay
         self.out_of_date_after = out_of_date_after
         self.lateness = Lateness()
         self.platform = FakePlatform()
@@ -164,7 +164,7 @@
         self.clock = VirtualClock()
         self.values_by_host: dict[str, bytes] = {}
         self.took_at_by_host: dict[str, float] = {}
-        self.shares_by_host: dict[str, WatchShare] = {}
+        self.shares_by_host: dict[str, SharedWatch] = {}
         self.stores_by_host: dict[str, FakePlatform | StoreLink] = {}
         self.tasks_by_host: dict[str, asyncio.Task] = {}
         self.rows = [
@@ -184,7 +184,7 @@
     ) -> None:
         host_id = row.host_id
         self.stores_by_host[host_id] = platform or self.platform
-        share = WatchShare(
+        share = SharedWatch(
             host_id=host_id,
             views=(View(prefix="config/", apply=self._applier(host_id)),),
             follow=partial(self._follow, host_id),
@@ -192,7 +192,7 @@
             roster=FixedRoster(own=row, rows=self.rows),
             clock=self.clock,
             rng=random.Random(host_id),
-            reach_changed=lambda is_reached: None,
+            reach_changed=lambda is_receiving: None,
         )
         self.shares_by_host[host_id] = share
         self.tasks_by_host[host_id] = asyncio.create_task(share.run())
@@ -254,7 +254,7 @@
 
         return apply
 
-    def _follow(self, host_id: str, share: WatchShare, view: View) -> Follower:
+    def _follow(self, host_id: str, share: SharedWatch, view: View) -> Follower:
         return Follower(
             prefix=view.prefix,
             platform=self.stores_by_host[host_id],
@@ -265,7 +265,7 @@
             relist_pause=lambda: timedelta(milliseconds=200),
             wait=self.wait,
             pause=self.pause,
-            last_retry=self.last_retry,
+            max_retry_delay=self.max_retry_delay,
             out_of_date_after=self.out_of_date_after,
         )
 
--- a/tests/rated_network.py
+++ b/tests/rated_network.py
@@ -86,7 +86,7 @@
     def listen(self, kind: type, listener: Callable[[Any], None]) -> None:
         self._listeners[kind] = listener
 
-    async def tell(self, host_ids: Sequence[str], message: Message) -> set[str]:
+    async def send_message(self, host_ids: Sequence[str], message: Message) -> set[str]:
         for host_id in host_ids:
             task = asyncio.create_task(self._tell(host_id, message))
             self._tasks.add(task)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -19,7 +19,7 @@
 from passtally.gate import Gate
 from passtally.objects import EndpointState
 from passtally.outcome import Code, Outcome, RefusedError
-from passtally.retry_budget import MOST, RetryBudgets
+from passtally.retry_budget import MAX_SAVED, RetryBudgets
 from passtally.routing import (
     RESUME_BUDGET,
     EndpointView,
@@ -298,7 +298,7 @@
     def test_repeats_are_a_share_of_a_workspaces_requests(self):
         budgets = RetryBudgets()
         allowed = sum(budgets.try_spend("w") for _ in range(100))
-        assert allowed == MOST
+        assert allowed == MAX_SAVED
         assert budgets.try_spend("other")
         for _ in range(15):
             budgets.earn("w")
@@ -307,4 +307,4 @@
     def test_all_workspaces_together_are_bounded_too(self):
         budgets = RetryBudgets()
         spent = sum(budgets.try_spend(str(n)) for n in range(1000))
-        assert spent == 10 * MOST
+        assert spent == 10 * MAX_SAVED
--- a/tests/test_change_storms.py
+++ b/tests/test_change_storms.py
@@ -18,7 +18,7 @@
 
 from passtally.front_host import (
     GATHER_PART,
-    LAST_RETRY,
+    MAX_RETRY_DELAY,
     OUT_OF_DATE_AFTER,
     WATCH_WAIT_PART,
 )
@@ -48,7 +48,7 @@
         domains=tuple(domains),
         wait=timedelta(seconds=WATCH_WAIT_PART * APPLY_WITHIN),
         pause=timedelta(seconds=GATHER_PART * APPLY_WITHIN),
-        last_retry=LAST_RETRY,
+        max_retry_delay=MAX_RETRY_DELAY,
         out_of_date_after=OUT_OF_DATE_AFTER,
     )
     await fleet.platform.create("config/main", SMALL[0])
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -14,10 +14,10 @@
     run_state_machine_as_test,
 )
 
+from passtally.at_most_once import SEND_WINDOW
 from passtally.claim_log import ClaimLog, ClaimVerdict, Segment, Void, read_segment
 from passtally.claims import ShardWriter, new_claim
 from passtally.clock import ManualClock
-from passtally.once import SEND_WINDOW
 from tests.fakes import FakePlatform
 
 RETENTION = timedelta(hours=1)
--- a/tests/test_completion.py
+++ b/tests/test_completion.py
@@ -4,7 +4,7 @@
 import msgspec
 import pytest
 
-from passtally.completion import Flavour, Shape, build_request, parse_body
+from passtally.completion import AnswerFormat, Flavour, build_request, parse_body
 from passtally.completion_handler import build_generation
 from passtally.handle import ResumePoint, StreamRef
 from passtally.objects import Service, ServiceKind, Workspace, digest_token
@@ -49,11 +49,11 @@
         generation = make_generation()
         attempt = generation.start_attempt("r")
         generation.accept(attempt, event(0, "ab", "stop"))
-        shape = Shape(flavour=flavour, include_usage=True)
+        shape = AnswerFormat(flavour=flavour, include_usage=True)
         before, after = shape.event_parts(generation.request)
         chunk = msgspec.json.decode((before + b'"x"' + after).strip())
         last = msgspec.json.decode(shape.last_event(generation, "b"))
-        whole = msgspec.json.decode(shape.whole_answer(generation, "ab"))
+        whole = msgspec.json.decode(shape.render_answer(generation, "ab"))
         assert chunk["choices"][0]["finish_reason"] is None
         assert last["choices"][0]["finish_reason"] == "stop"
         assert last["usage"]["completion_tokens"] == 2
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -49,12 +49,12 @@
         name = next(self._names)
         zone = ("pilar", "tigre")[int(name[2:]) % 2]
         runner = await self.system.add_runner(
-            name, self.service, zone=zone, on_crash=self._note_crash
+            name, self.service, zone=zone, on_crash=self._record_crash
         )
         runner.faults.fatal_body = FATAL
         return runner
 
-    def _note_crash(self, runner: RunnerStandIn) -> None:
+    def _record_crash(self, runner: RunnerStandIn) -> None:
         self.crashed.append(runner.name)
         task = asyncio.create_task(self._come_back(runner))
         self._tasks.add(task)
--- a/tests/test_dead_neighbour.py
+++ b/tests/test_dead_neighbour.py
@@ -35,13 +35,13 @@
             learners = [
                 row.host_id for row in fleet.rows if row.host_id not in fleet.watchers
             ]
-            gone = learners[:: len(learners) // ended][:ended]
-            fleet.network.cut.update(gone)
+            dead = learners[:: len(learners) // ended][:ended]
+            fleet.network.cut.update(dead)
             oldest = 0.0
             for _ in range(300):
                 await asyncio.sleep(0.02)
-                tell_newest(fleet, gone)
-                for host_id in set(learners) - set(gone):
+                tell_newest(fleet, dead)
+                for host_id in set(learners) - set(dead):
                     oldest = max(oldest, storm.age(fleet.values_by_host[host_id]))
             blowing.cancel()
             assert oldest < LEARNED_WITHIN
--- a/tests/test_domain_return.py
+++ b/tests/test_domain_return.py
@@ -12,9 +12,9 @@
 import pytest
 
 from passtally.follower import Follower
-from passtally.front_host import LAST_RETRY, OUT_OF_DATE_AFTER
+from passtally.front_host import MAX_RETRY_DELAY, OUT_OF_DATE_AFTER
+from passtally.shared_watch import SharedWatch
 from passtally.view import View
-from passtally.watch_share import WatchShare
 from standins.virtual import run_virtually
 from tests.test_large_changes import Fleet, make_config
 from tests.test_piled_changes import RatedStore
@@ -46,7 +46,7 @@
         for way in self.ways:
             way.is_shut = is_shut
 
-    def _follow(self, host_id: str, share: WatchShare, view: View) -> Follower:
+    def _follow(self, host_id: str, share: SharedWatch, view: View) -> Follower:
         return Follower(
             prefix=view.prefix,
             platform=self.stores_by_host[host_id],
@@ -57,7 +57,7 @@
             relist_pause=lambda: timedelta(milliseconds=200),
             wait=timedelta(seconds=1.8),
             pause=timedelta(milliseconds=375),
-            last_retry=LAST_RETRY,
+            max_retry_delay=MAX_RETRY_DELAY,
             out_of_date_after=OUT_OF_DATE_AFTER,
         )
 
--- a/tests/test_resting_endpoints.py
+++ b/tests/test_endpoint_backoff.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from passtally.endpoint_backoff import PROBE_WINDOW, EndpointBackoffs
 from passtally.objects import EndpointStart
-from passtally.rests import TRIAL, Rests
 from standins.platform_config import ENGINE, LOOKUPS
 from tests.endpoint_load import Sent, send_load, start_linked
 from tests.platform_system import PlatformSystem, run
@@ -75,10 +75,10 @@
 SECOND = timedelta(seconds=1)
 
 
-def resting(rest: timedelta = 3 * SECOND) -> Rests:
+def resting(rest: timedelta = 3 * SECOND) -> EndpointBackoffs:
     """Return what a host knows that an endpoint has just asked for rest."""
-    rests = Rests()
-    rests.note_answer(START, rest, sent_at=NOW, now=NOW)
+    rests = EndpointBackoffs()
+    rests.record_answer(START, rest, sent_at=NOW, now=NOW)
     return rests
 
 
@@ -96,26 +96,26 @@
         end = NOW + 3 * SECOND
         assert rests.take(START, now=end)
         assert not rests.take(START, now=end)
-        rests.note_answer(START, None, sent_at=end, now=end)
+        rests.record_answer(START, None, sent_at=end, now=end)
         assert all(rests.take(START, now=end) for _ in range(9))
 
     def test_another_follows_where_no_answer_comes(self):
         rests = resting()
         end = NOW + 3 * SECOND
         assert rests.take(START, now=end)
-        assert rests.wait(START, now=end) == TRIAL
-        assert rests.take(START, now=end + TRIAL)
+        assert rests.wait(START, now=end) == PROBE_WINDOW
+        assert rests.take(START, now=end + PROBE_WINDOW)
 
     def test_an_answer_to_what_was_under_way_does_not_end_it(self):
         rests = resting()
-        rests.note_answer(START, None, sent_at=NOW, now=NOW + SECOND)
+        rests.record_answer(START, None, sent_at=NOW, now=NOW + SECOND)
         assert not rests.may_send(START, now=NOW + SECOND)
 
     def test_the_longest_counts(self):
         rests = resting()
-        rests.note_answer(START, SECOND, sent_at=NOW, now=NOW + SECOND)
+        rests.record_answer(START, SECOND, sent_at=NOW, now=NOW + SECOND)
         assert rests.wait(START, now=NOW + SECOND) == 2 * SECOND
-        rests.note_answer(START, 3 * SECOND, sent_at=NOW, now=NOW + SECOND)
+        rests.record_answer(START, 3 * SECOND, sent_at=NOW, now=NOW + SECOND)
         assert rests.wait(START, now=NOW + SECOND) == 3 * SECOND
 
     def test_zero_is_no_rest(self):
--- a/tests/test_endpoint_words.py
+++ b/tests/test_endpoint_directives.py
@@ -6,12 +6,17 @@
 import pytest
 
 from passtally.clock import ManualClock
-from passtally.endpoint_words import MAX_KEPT, EndpointWords, OddWords, Word
+from passtally.endpoint_directives import (
+    MAX_KEPT,
+    Directive,
+    EndpointDirectives,
+    InvalidDirectiveLog,
+)
 from passtally.fleet import Fleet
 from passtally.http_client import ResponseHead
 from passtally.objects import EndpointStart
 from passtally.platform import names
-from passtally.platform.answer_words import read_words
+from passtally.platform.answer_directives import read_directives
 from tests.fakes import make_catalog
 
 #: What the platform's pages name that endpoints say in the heads of their answers.
@@ -37,9 +42,9 @@
     return ResponseHead(status=status, headers=fields)
 
 
-def odd_limit(told: str) -> EndpointWords:
+def odd_limit(told: str) -> EndpointDirectives:
     """Return what an answer says that names what is no limit."""
-    return EndpointWords(odd_by_word={Word.LIMIT: told})
+    return EndpointDirectives(invalid_by_directive={Directive.LIMIT: told})
 
 
 class TestHeaders:
@@ -58,43 +63,43 @@
 
     def test_one_that_nobody_knows_is_told(self):
         head = head_of(Server_Mood="good", X_Request_Id="q", Date="today")
-        words = read_words(head, endpoint_id="e", request_id=b"q")
+        words = read_directives(head, endpoint_id="e", request_id=b"q")
         assert words.unread == ("server-mood",)
 
 
 class TestReadWords:
     def test_each_word_is_read(self):
         head = head_of(Server_Limit="1.5", Server_Leaving="1")
-        words = read_words(head, endpoint_id="e")
-        assert words == EndpointWords(limit=1.5, is_leaving=True)
+        words = read_directives(head, endpoint_id="e")
+        assert words == EndpointDirectives(limit=1.5, is_leaving=True)
 
     @pytest.mark.parametrize(
         ("word", "header", "told"),
         [
-            (Word.LIMIT, "Server_Limit", "many"),
-            (Word.LEAVING, "Server_Leaving", "0"),
-            (Word.LEAVING, "Server_Leaving", ""),
-            (Word.LEAVING, "Server_Leaving", "soon"),
-            (Word.REST, "Retry_After", "-1"),
-            (Word.REST, "Retry_After", "soon"),
-            (Word.REST, "Retry_After", "inf"),
-            (Word.REST, "Retry_After", "Thu, 03 Dec 2026 12:00:00 GMT"),
+            (Directive.LIMIT, "Server_Limit", "many"),
+            (Directive.LEAVING, "Server_Leaving", "0"),
+            (Directive.LEAVING, "Server_Leaving", ""),
+            (Directive.LEAVING, "Server_Leaving", "soon"),
+            (Directive.REST, "Retry_After", "-1"),
+            (Directive.REST, "Retry_After", "soon"),
+            (Directive.REST, "Retry_After", "inf"),
+            (Directive.REST, "Retry_After", "Thu, 03 Dec 2026 12:00:00 GMT"),
         ],
     )
     def test_what_can_t_be_read_is_told_apart(self, word, header, told):
-        words = read_words(head_of(status=503, **{header: told}), endpoint_id="e")
-        assert words == EndpointWords(odd_by_word={word: told})
+        words = read_directives(head_of(status=503, **{header: told}), endpoint_id="e")
+        assert words == EndpointDirectives(invalid_by_directive={word: told})
 
     @pytest.mark.parametrize(
         ("told", "seconds"), [("3", 3), ("0.4", 0.4), ("0", 0), ("1e12", 3600)]
     )
     def test_rest_is_asked_for_in_seconds_and_parts_of_them(self, told, seconds):
-        words = read_words(head_of(status=503, Retry_After=told), endpoint_id="e")
-        assert words == EndpointWords(rest=timedelta(seconds=seconds))
+        words = read_directives(head_of(status=503, Retry_After=told), endpoint_id="e")
+        assert words == EndpointDirectives(rest=timedelta(seconds=seconds))
 
     def test_only_who_turns_a_request_away_asks_for_rest(self):
-        words = read_words(head_of(status=500, Retry_After="3"), endpoint_id="e")
-        assert words == EndpointWords()
+        words = read_directives(head_of(status=500, Retry_After="3"), endpoint_id="e")
+        assert words == EndpointDirectives()
 
     @pytest.mark.parametrize(
         "head",
@@ -106,7 +111,7 @@
         ids=["address reused", "another's name", "surplus"],
     )
     def test_the_word_of_another_says_nothing(self, head):
-        assert read_words(head, endpoint_id="e", request_id=b"q") is None
+        assert read_directives(head, endpoint_id="e", request_id=b"q") is None
 
 
 class TestOddWords:
@@ -118,28 +123,30 @@
         def log(kind: str, sentence: str, *, peer: str, **fields: object) -> None:
             lines.append(peer)
 
-        monkeypatch.setattr("passtally.endpoint_words.log_event", log)
+        monkeypatch.setattr("passtally.endpoint_directives.log_event", log)
         return lines
 
     def test_each_is_logged_once(self, lines: list[str]):
-        odd = OddWords()
+        odd = InvalidDirectiveLog()
         for _ in range(3):
             odd.note("e", odd_limit("many"))
         odd.note("e", odd_limit("more"))
         assert lines == ["e", "e"]
 
     def test_few_are_kept(self, lines: list[str]):
-        odd = OddWords()
+        odd = InvalidDirectiveLog()
         for number in range(3 * MAX_KEPT):
             odd.note(f"e{number}", odd_limit("many"))
-        assert len(odd._odd_by_endpoint) <= MAX_KEPT
+        assert len(odd._invalid_by_endpoint) <= MAX_KEPT
 
     def test_they_change_nothing(self, lines: list[str]):
         clock = ManualClock()
         fleet = Fleet(
             catalog=make_catalog([]), clock=clock, connect=lambda endpoint: None
         )
-        fleet.note_words(START, EndpointWords(limit=2.0), sent_at=clock.monotonic())
+        fleet.record_directives(
+            START, EndpointDirectives(limit=2.0), sent_at=clock.monotonic()
+        )
         later = clock.monotonic() + timedelta(seconds=1)
-        fleet.note_words(START, odd_limit("many"), sent_at=later)
-        assert not fleet.limits.has_room(START, now=clock.monotonic())
+        fleet.record_directives(START, odd_limit("many"), sent_at=later)
+        assert not fleet.limits.has_capacity(START, now=clock.monotonic())
--- a/tests/test_endpoint_starts.py
+++ b/tests/test_endpoint_starts.py
@@ -15,9 +15,9 @@
 from passtally.catalog import Catalog
 from passtally.clock import ManualClock
 from passtally.departures import Departures
-from passtally.endpoint_book import EndpointBook
+from passtally.endpoint_registry import EndpointRegistry
 from passtally.fleet import Fleet
-from passtally.host_news import LoadBoard
+from passtally.load_exchange import LoadTable
 from passtally.messages import HostNews, TokenLoad
 from passtally.objects import (
     UNTOLD_START,
@@ -55,7 +55,7 @@
             departures=Departures(),
         )
         self.came: list[EndpointStart] = []
-        self.book = EndpointBook(
+        self.registry = EndpointRegistry(
             catalog=self.catalog,
             clock=self.clock,
             gone=self.fleet.forget,
@@ -64,11 +64,11 @@
 
     def _meet(self, endpoint: Endpoint) -> None:
         self.came.append(endpoint.start)
-        self.fleet.note_start(endpoint)
+        self.fleet.record_start(endpoint)
 
     def put(self, incarnation: int, **fields) -> None:
         defaults = {"url": "http://127.0.0.1:1", "failure_domain": "pilar"}
-        self.book.put(
+        self.registry.put(
             Endpoint(
                 id="a", service="s", incarnation=incarnation, **(defaults | fields)
             )
@@ -123,7 +123,7 @@
     def test_its_end_shuts_only_that_start_out(self):
         known = Known()
         known.put(BORN)
-        known.live.note_ended()
+        known.live.record_ended()
         assert known.live.view().state is EndpointState.DRAINING
         known.put(BORN + 1)
         assert known.live.view().state is EndpointState.ACTIVE
@@ -133,7 +133,7 @@
         known.put(BORN)
         known.live.enter()
         known.live.eject(known.clock.monotonic())
-        known.book.remove(["a"])
+        known.registry.remove(["a"])
         known.put(BORN + 1)
         assert not known.live.is_ejected
 
@@ -172,31 +172,31 @@
     def test_word_of_a_loss_does_not_shut_the_next_start_out(self):
         known = Known()
         known.put(BORN + 1)
-        known.fleet.note_peer_loss(start_of(BORN))
+        known.fleet.record_peer_loss(start_of(BORN))
         assert not known.live.is_ejected
-        known.fleet.note_peer_loss(start_of(BORN + 1))
+        known.fleet.record_peer_loss(start_of(BORN + 1))
         assert known.live.is_ejected
 
     def test_a_loss_is_told_with_its_start(self):
         known = Known()
         known.put(BORN)
-        known.fleet.note_loss(known.live, is_gone=True)
-        assert known.fleet.take_losses() == [start_of(BORN)]
+        known.fleet.record_loss(known.live, is_endpoint_unreachable=True)
+        assert known.fleet.pop_losses() == [start_of(BORN)]
 
     def test_a_host_that_tells_no_start_is_believed(self):
         news = HostNews(host_id="h", loads_by_endpoint={}, lost=["a"])
         assert news.lost_starts() == [start_of(UNTOLD_START)]
         known = Known()
         known.put(BORN)
-        known.fleet.note_peer_loss(news.lost_starts()[0])
+        known.fleet.record_peer_loss(news.lost_starts()[0])
         assert known.live.is_ejected
 
     def test_loads_at_the_start_before_do_not_count(self):
-        board = LoadBoard()
+        load_table = LoadTable()
         now = timedelta(0)
-        board.take("h1", {"a": TokenLoad(held=10, incarnation=BORN)}, now=now)
-        board.take("h2", {"a": TokenLoad(held=1, incarnation=BORN + 1)}, now=now)
-        assert board.load(start_of(BORN + 1)).held == 1
+        load_table.take("h1", {"a": TokenLoad(held=10, incarnation=BORN)}, now=now)
+        load_table.take("h2", {"a": TokenLoad(held=1, incarnation=BORN + 1)}, now=now)
+        assert load_table.load(start_of(BORN + 1)).held == 1
 
 
 class TestStreams:
@@ -259,7 +259,7 @@
             entry = runner.entry(LOOKUPS)
             system.store.put("servers", "i-look", entry | {"born": BORN})
             await known_start(host, "i-look", BORN)
-            host.fleet.find("i-look").note_ended()
+            host.fleet.find("i-look").record_ended()
             assert (await system.send("/look/1")).status == 503
             system.store.put("servers", "i-look", entry | {"born": BORN + 900})
             await known_start(host, "i-look", BORN + 900)
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -53,7 +53,7 @@
         self.given: list[tuple[str, str, int]] = []
         self.away: set[str] = set()
 
-    async def give(self, endpoint, *, kind, value, fence, before_send) -> None:
+    async def send_order(self, endpoint, *, kind, value, fence, before_send) -> None:
         await asyncio.sleep(0.01)
         before_send()
         self._check(endpoint)
--- a/tests/test_failing_endpoints.py
+++ b/tests/test_failing_endpoints.py
@@ -251,9 +251,9 @@
     def test_it_is_used_again(self, seed: int):
         seen = play({"e1": reset_until(5)}, seed=seed)
         assert seen.served > 0.94
-        usual = play({}, seed=seed)
+        baseline = play({}, seed=seed)
         back = seen.arrivals("e1", after=15)
-        assert back > 0.7 * usual.arrivals("e1", after=15)
+        assert back > 0.7 * baseline.arrivals("e1", after=15)
 
     def test_it_is_tried_at_once_where_it_is_the_last(self, seed: int):
         faults = {"e0": unreachable_from(10), "e1": reset_until(8)}
@@ -298,8 +298,8 @@
     def test_calls_that_were_given_too_little_time(self, seed: int):
         seen = play({"e1": answer_504}, seed=seed)
         assert not seen.failing()
-        usual = play({}, seed=seed)
-        assert seen.arrivals("e1") == usual.arrivals("e1")
+        baseline = play({}, seed=seed)
+        assert seen.arrivals("e1") == baseline.arrivals("e1")
 
     def test_at_most_half_are_put_out_of_use(self, seed: int):
         faults = {"e0": reset, "e1": reset, "e2": reset}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -40,14 +40,14 @@
         for _ in range(40):
             live.leave()
         clock.advance(timedelta(milliseconds=500))
-        live.take_report(LoadReport(running=40, queued=0, step=1))
+        live.update_report(LoadReport(running=40, queued=0, step=1))
         assert live.view().taken == 0
 
     def test_other_hosts_requests_count(self):
         clock = ManualClock()
         live = make_live(clock)
         live.enter()
-        live.take_report(LoadReport(running=5, queued=2, step=1))
+        live.update_report(LoadReport(running=5, queued=2, step=1))
         assert live.view().taken == 7
 
     def test_long_gone_requests_of_ones_own_are_forgotten(self):
@@ -56,7 +56,7 @@
         live.enter()
         live.leave()
         clock.advance(timedelta(seconds=10))
-        live.take_report(LoadReport(running=3, queued=0, step=1))
+        live.update_report(LoadReport(running=3, queued=0, step=1))
         assert live.view().taken == 3
 
 
@@ -67,7 +67,7 @@
         guard = StreamGuard(
             quiet_since=timedelta(0), first_limit=lambda tokens: tokens * self.SECOND
         )
-        guard.most_reading = 7
+        guard.max_prefill_tokens = 7
         assert guard.stuck_after(self.SECOND) == 7 * self.SECOND
 
     def test_where_nothing_is_known_the_endpoints_own_limit_holds(self):
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -26,7 +26,7 @@
             advance=self._advance,
             relist_pause=lambda: timedelta(milliseconds=200),
             wait=timedelta(seconds=1),
-            last_retry=timedelta(milliseconds=400),
+            max_retry_delay=timedelta(milliseconds=400),
             out_of_date_after=out_of_date_after,
             reach_changed=self.reach.append,
         )
--- a/tests/test_generation.py
+++ b/tests/test_generation.py
@@ -7,7 +7,7 @@
     Delivery,
     Generation,
     GenerationRequest,
-    SeamError,
+    ResumeMismatchError,
     TokenEvent,
 )
 from passtally.statechart import IllegalTransitionError
@@ -74,21 +74,21 @@
     def test_missing_tokens_are_an_error(self):
         generation = make_generation()
         attempt = generation.start_attempt("a")
-        with pytest.raises(SeamError, match="missing"):
+        with pytest.raises(ResumeMismatchError, match="missing"):
             generation.accept(attempt, event(1, "b"))
 
     def test_contradicting_tokens_are_an_error(self):
         generation = make_generation()
         attempt = generation.start_attempt("a")
         generation.accept(attempt, event(0, "abc"))
-        with pytest.raises(SeamError, match="other tokens"):
+        with pytest.raises(ResumeMismatchError, match="other tokens"):
             generation.accept(attempt, event(1, "XX"))
 
     def test_missing_text_is_an_error(self):
         generation = make_generation()
         attempt = generation.start_attempt("a")
         gap = TokenEvent(position=0, token_ids=[1], text_offset=1, text="b")
-        with pytest.raises(SeamError, match="characters"):
+        with pytest.raises(ResumeMismatchError, match="characters"):
             generation.accept(attempt, gap)
 
     def test_half_a_character_at_the_seam_comes_once(self):
@@ -105,7 +105,7 @@
     def test_an_end_before_what_was_delivered_is_an_error(self):
         generation = make_generation(delivered=5, delivered_characters=5)
         attempt = generation.start_attempt("a", attach=True)
-        with pytest.raises(SeamError, match="ended"):
+        with pytest.raises(ResumeMismatchError, match="ended"):
             generation.accept(attempt, event(0, "ab", "stop"))
 
 
--- a/tests/test_generation_machine.py
+++ b/tests/test_generation_machine.py
@@ -11,7 +11,7 @@
     run_state_machine_as_test,
 )
 
-from passtally.generation import Generation, SeamError, TokenEvent
+from passtally.generation import Generation, ResumeMismatchError, TokenEvent
 from tests.test_generation import make_generation
 
 #: Two- and three-byte characters, so that tokens split them.
@@ -75,7 +75,7 @@
         event = event_at(position, length, other=other and shift < 0)
         try:
             delivery = self.generation.accept(attempt, event)
-        except SeamError:
+        except ResumeMismatchError:
             self.generation.lose_attempt(attempt)
             return
         self.sent[id(attempt)] = max(
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -104,7 +104,7 @@
     connection = await pool.take(peer.address)
     head = await connection.send(b"POST", b"/a%2Fb", HEADERS, body)
     answer = await connection.read_all(1000)
-    pool.give_back(peer.address, connection, head)
+    pool.release(peer.address, connection, head)
     return answer
 
 
@@ -146,7 +146,7 @@
             connection = await pool.take(peer.address)
             head = await connection.send(b"POST", b"/", HEADERS, b"")
             await connection.read_all(100)
-            pool.give_back(peer.address, connection, head)
+            pool.release(peer.address, connection, head)
             connection.data_received(b"HTTP/1.1 200 OK\r\n")
             assert not connection.is_usable
 
@@ -201,10 +201,10 @@
             await self.keep_two(pool, peer)
             since = SystemClock().monotonic()
             await call(pool, peer)
-            pool.distrust_older(since)
+            pool.invalidate_older(since)
             await call(pool, peer)
             assert peer.connections == 2
-            pool.distrust_older(SystemClock().monotonic())
+            pool.invalidate_older(SystemClock().monotonic())
             await call(pool, peer)
             assert peer.connections == 3
 
@@ -281,7 +281,7 @@
             head = await connection.send(b"GET", b"/", HEADERS, b"")
             assert not head.is_framed
             assert await connection.read_all(100) == b"ok"
-            pool.give_back(peer.address, connection, head)
+            pool.release(peer.address, connection, head)
             assert not connection.is_usable
 
         run(peer, test)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -220,7 +220,7 @@
                 await exchange.begin(200, [])
                 await exchange.write(b"part")
                 await asyncio.sleep(0.05)
-                exchange.break_off()
+                exchange.abort()
 
             server.handle = handle
             reader, writer = await server.open()
--- a/tests/test_idle_connections_kept.py
+++ b/tests/test_idle_connections_kept.py
@@ -14,7 +14,7 @@
 LONG = timedelta(hours=1)
 
 
-def note_opened(host: FrontHost) -> list[Address]:
+def record_opened(host: FrontHost) -> list[Address]:
     """Return the addresses to which a host opens connections from now on."""
     opened: list[Address] = []
     open_connection = host.pool.open
@@ -41,7 +41,7 @@
             runners = Runners(system)
             runners.set_faults(head_delay=0.1)
             await asyncio.gather(*(system.send("/look/1") for _ in range(3)))
-            opened = note_opened(host)
+            opened = record_opened(host)
             runners.set_faults(head_delay=5)
             arrivals = runners.arrivals
             caller = Leaver(host, "/look/1")
--- a/tests/test_idle_hosts.py
+++ b/tests/test_idle_hosts.py
@@ -60,7 +60,7 @@
             live = SimpleNamespace(
                 guards={"one"},
                 check_silence=lambda now: None,
-                excuse_silence=lambda now: None,
+                reset_silence=lambda now: None,
             )
             fleet._live_by_id["i"] = live
             return fleet.watch_silence()
@@ -125,7 +125,7 @@
             second.start()
             await second.bind()
             between = await asyncio.start_server(relay, "127.0.0.1", port_between)
-            first.meet(
+            first.add_peer(
                 PeerAddress(
                     host_id="b",
                     failure_domain="pilar",
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self.out_of_reach: set[str] = set()
 
-    async def is_in_reach(self, host_id: str) -> bool:
+    async def is_reachable(self, host_id: str) -> bool:
         return host_id not in self.out_of_reach
 
 
@@ -79,8 +79,8 @@
             changed=self.told.append,
         )
 
-    def look(self) -> bool:
-        asyncio.run(self.isolation.look())
+    def check(self) -> bool:
+        asyncio.run(self.isolation.check())
         return self.isolation.is_isolated
 
 
@@ -94,52 +94,52 @@
 
 class TestIsolation:
     def test_a_host_cut_off_from_a_whole_service_is_isolated(self, cut):
-        assert cut.look()
+        assert cut.check()
         assert cut.told == [True]
 
     @pytest.mark.parametrize("left", ["e1", "e2"])
     def test_one_that_has_an_endpoint_left_is_not(self, cut, left):
         cut.engines[left].is_there = True
-        assert not cut.look()
+        assert not cut.check()
 
     def test_one_without_the_platform_is_isolated_whatever_it_has_left(self, cut):
         cut.engines["e1"].is_there = cut.engines["e2"].is_there = True
         cut.has_platform = False
-        assert cut.look()
+        assert cut.check()
         cut.has_platform = True
-        assert not cut.look()
+        assert not cut.check()
 
     def test_the_platforms_outage_alone_isolates_nobody(self, cut):
         cut.peers.out_of_reach = set()
         cut.has_platform = False
-        assert not cut.look()
+        assert not cut.check()
 
     def test_one_that_hears_another_failure_domain_is_not(self, cut):
         cut.peers.out_of_reach = {"far-1"}
-        assert not cut.look()
+        assert not cut.check()
 
     def test_one_that_knows_no_other_failure_domain_is_not(self, cut):
         cut.roster.far = []
-        assert not cut.look()
+        assert not cut.check()
 
     def test_it_ends_when_an_endpoint_takes_connections_again(self, cut):
-        cut.look()
-        assert cut.look()
+        cut.check()
+        assert cut.check()
         cut.engines["e2"].is_there = True
-        assert not cut.look()
+        assert not cut.check()
         assert cut.told == [True, False]
 
     def test_it_ends_when_another_failure_domain_is_heard(self, cut):
-        cut.look()
+        cut.check()
         cut.peers.out_of_reach = set()
-        assert not cut.look()
+        assert not cut.check()
 
     def test_a_service_without_endpoints_is_nobodys_to_serve(self, cut):
         for name in ("e1", "e2"):
             cut.catalog.drop_endpoint(name)
-        assert not cut.look()
+        assert not cut.check()
 
     def test_a_cut_that_gossip_forgets_goes_on(self, cut):
-        cut.look()
+        cut.check()
         cut.roster.far = []
-        assert cut.look()
+        assert cut.check()
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -53,8 +53,8 @@
         self.platform.faults.clear()
 
     @rule(host=st.sampled_from(HOSTS))
-    def give_back(self, host):
-        self.loop.run_until_complete(self.leases[host].give_back())
+    def release(self, host):
+        self.loop.run_until_complete(self.leases[host].release())
 
     @rule(seconds=st.sampled_from([0.5, 1, 2, 6]))
     def pass_time(self, seconds):
--- a/tests/test_leaving_endpoints.py
+++ b/tests/test_leaving_endpoints.py
@@ -8,7 +8,7 @@
 
 from passtally.clock import ManualClock
 from passtally.departures import Departures
-from passtally.endpoint_words import EndpointWords
+from passtally.endpoint_directives import EndpointDirectives
 from passtally.fleet import Fleet
 from passtally.objects import Endpoint
 from standins.platform_config import ENGINE, LOOKUPS
@@ -100,8 +100,8 @@
             connect=lambda endpoint: None,
             departures=departures,
         )
-        leaving, silent = EndpointWords(is_leaving=True), EndpointWords()
-        fleet.note_words(old.start, leaving, sent_at=timedelta(0))
-        fleet.note_words(old.start, silent, sent_at=timedelta(seconds=1))
-        assert not fleet.is_sound("e")
+        leaving, silent = EndpointDirectives(is_leaving=True), EndpointDirectives()
+        fleet.record_directives(old.start, leaving, sent_at=timedelta(0))
+        fleet.record_directives(old.start, silent, sent_at=timedelta(seconds=1))
+        assert not fleet.is_healthy("e")
         assert not departures.is_leaving(new)
--- a/tests/test_host_news.py
+++ b/tests/test_load_exchange.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 
 from passtally.clock import ManualClock
-from passtally.host_news import (
+from passtally.load_exchange import (
     CATCH_UP_INTERVAL,
     FORGET_AFTER,
-    LoadBoard,
-    NewsExchange,
+    LoadExchange,
+    LoadTable,
 )
 from passtally.member_table import SUSPECT_FOR, MemberTable
 from passtally.messages import HostNews, MemberRow, TokenLoad
@@ -28,27 +28,27 @@
 
 class TestLoadBoard:
     def test_loads_of_all_hosts_add_up(self):
-        board = LoadBoard()
-        board.take("h1", {"a": TokenLoad(held=10, reading=5, running=2)}, now=NOW)
-        board.take(
+        load_table = LoadTable()
+        load_table.take("h1", {"a": TokenLoad(held=10, reading=5, running=2)}, now=NOW)
+        load_table.take(
             "h2", {"a": TokenLoad(held=1, running=1), "b": TokenLoad(held=7)}, now=NOW
         )
-        assert board.load(A) == TokenLoad(held=11, reading=5, running=3)
-        assert board.load(EndpointStart(endpoint_id="b")) == TokenLoad(held=7)
-        assert board.load(EndpointStart(endpoint_id="c")) == TokenLoad()
+        assert load_table.load(A) == TokenLoad(held=11, reading=5, running=3)
+        assert load_table.load(EndpointStart(endpoint_id="b")) == TokenLoad(held=7)
+        assert load_table.load(EndpointStart(endpoint_id="c")) == TokenLoad()
 
     def test_newer_news_replaces_older(self):
-        board = LoadBoard()
-        board.take("h1", {"a": TokenLoad(held=10)}, now=NOW)
-        board.take("h1", {}, now=NOW)
-        assert board.load(A) == TokenLoad()
+        load_table = LoadTable()
+        load_table.take("h1", {"a": TokenLoad(held=10)}, now=NOW)
+        load_table.take("h1", {}, now=NOW)
+        assert load_table.load(A) == TokenLoad()
 
     def test_a_host_that_is_silent_is_forgotten(self):
-        board = LoadBoard()
-        board.take("h1", {"a": TokenLoad(held=10)}, now=NOW)
-        board.take("h2", {"a": TokenLoad(held=1)}, now=NOW + FORGET_AFTER)
-        board.forget_old(NOW + FORGET_AFTER + timedelta(milliseconds=1))
-        assert board.load(A) == TokenLoad(held=1)
+        load_table = LoadTable()
+        load_table.take("h1", {"a": TokenLoad(held=10)}, now=NOW)
+        load_table.take("h2", {"a": TokenLoad(held=1)}, now=NOW + FORGET_AFTER)
+        load_table.forget_old(NOW + FORGET_AFTER + timedelta(milliseconds=1))
+        assert load_table.load(A) == TokenLoad(held=1)
 
 
 class NewsNet:
@@ -74,11 +74,11 @@
         self.net = net
         self.load_changed = asyncio.Event()
         self.loads: dict[str, TokenLoad] = {}
-        self.board = LoadBoard()
+        self.load_table = LoadTable()
         self.limits = RequestLimits()
-        self.exchange = NewsExchange(
+        self.exchange = LoadExchange(
             host_id=name,
-            board=self.board,
+            load_table=self.load_table,
             fleet=self,
             peers=self,
             roster=self,
@@ -94,7 +94,7 @@
     def loads_by_endpoint(self) -> dict[str, TokenLoad]:
         return dict(self.loads)
 
-    def take_losses(self) -> list[EndpointStart]:
+    def pop_losses(self) -> list[EndpointStart]:
         return []
 
     def linked(self) -> list[MemberRow]:
@@ -107,7 +107,7 @@
     def listen(self, kind: type, listener: Callable[[HostNews], None]) -> None:
         self.hear = listener
 
-    async def tell(self, host_ids: Sequence[str], news: HostNews) -> set[str]:
+    async def send_message(self, host_ids: Sequence[str], news: HostNews) -> set[str]:
         up = {
             name
             for name in host_ids
@@ -136,7 +136,7 @@
             first, second = net.add("h1"), net.add("h2")
             first.put(a=10)
             await net.clock.sleep(self.SOON)
-            assert second.board.load(A) == TokenLoad(held=10)
+            assert second.load_table.load(A) == TokenLoad(held=10)
 
         self.play(test)
 
@@ -147,10 +147,10 @@
             net.down.add(frozenset(("h1", "h2")))
             first.put(a=10)
             await net.clock.sleep(timedelta(seconds=6))
-            assert second.board.load(A) == TokenLoad()
+            assert second.load_table.load(A) == TokenLoad()
             net.down.clear()
             await net.clock.sleep(self.SOON)
-            assert second.board.load(A) == TokenLoad(held=10)
+            assert second.load_table.load(A) == TokenLoad(held=10)
 
         self.play(test)
 
@@ -163,7 +163,7 @@
             net.hosts["h2"].task.cancel()
             again = net.add("h2")
             await net.clock.sleep(self.SOON)
-            assert again.board.load(A) == TokenLoad(held=10)
+            assert again.load_table.load(A) == TokenLoad(held=10)
 
         self.play(test)
 
@@ -189,10 +189,10 @@
     def ids(self) -> list[str]:
         return list(self.peers)
 
-    def meet(self, peer: PeerAddress) -> None:
+    def add_peer(self, peer: PeerAddress) -> None:
         self.peers[peer.host_id] = peer
 
-    def forget(self, host_id: str) -> None:
+    def remove_peer(self, host_id: str) -> None:
         self.peers.pop(host_id, None)
 
     def find(self, address: Address) -> list[str]:
@@ -222,11 +222,11 @@
 class TestRoster:
     def test_seeds_are_dialled_until_their_names_are_known(self):
         roster, table, links, clock = make_roster("10.0.0.1:1", "10.0.0.2:1")
-        roster.meet_seeds()
+        roster.link_seeds()
         assert links.ids == ["seed-10.0.0.2:1"]
         row = MemberRow("other", "tigre", 5, 0, False, "10.0.0.2:1")
         table.merge([row], clock.monotonic())
-        roster.meet()
+        roster.update_links()
         assert links.ids == ["other"]
 
     def test_where_all_are_gone_the_seeds_are_tried_and_one_host_of_each_domain(self):
@@ -236,10 +236,10 @@
             for number, domain in ((2, "tigre"), (3, "tigre"), (4, "escobar"))
         ]
         table.merge(rows, clock.monotonic())
-        roster.meet()
+        roster.update_links()
         assert sorted(links.ids) == ["h2", "h3", "h4"]
         lose(table, clock, "h2", "h3", "h4")
-        roster.meet()
+        roster.update_links()
         assert sorted(links.ids) == ["h3", "h4", "seed-10.0.0.9:1"]
         assert roster.linked() == []
 
@@ -250,9 +250,9 @@
                 f"h{number}", "tigre", 5, 0, False, f"10.0.0.{number + 2}:1"
             )
             table.merge([row], clock.monotonic())
-        roster.meet()
+        roster.update_links()
         lose(table, clock, "h0", "h1", "h2", "h3")
-        roster.meet()
+        roster.update_links()
         assert roster.peak == 5
         assert roster.others() == []
 
--- a/tests/test_many_objects.py
+++ b/tests/test_many_objects.py
@@ -13,7 +13,7 @@
 
 from passtally.front_host import (
     GATHER_PART,
-    LAST_RETRY,
+    MAX_RETRY_DELAY,
     OUT_OF_DATE_AFTER,
     WATCH_WAIT_PART,
 )
@@ -54,7 +54,7 @@
         bits_per_second=RATE,
         wait=timedelta(seconds=WATCH_WAIT_PART * APPLY_WITHIN),
         pause=timedelta(seconds=GATHER_PART * APPLY_WITHIN),
-        last_retry=LAST_RETRY,
+        max_retry_delay=MAX_RETRY_DELAY,
         out_of_date_after=OUT_OF_DATE_AFTER,
     )
     for _ in range(ENTRIES):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,12 +11,12 @@
 
 from passtally.departures import Departures
 from passtally.member_table import (
+    SENDS_PER_LOG,
     SUSPECT_FOR,
-    TOLD_PER_LOG,
     MemberState,
     MemberTable,
 )
-from passtally.membership import NEWS_ROWS
+from passtally.membership import UPDATE_ROWS
 from passtally.messages import DepartureRow, MemberRow
 from passtally.object_store import HostEntry
 from passtally.objects import Endpoint, EndpointStart, Service, ServiceKind
@@ -74,7 +74,7 @@
 
     def test_a_host_never_heard_of_is_out_of_reach(self):
         view = MemberTable(own=row("me", 1)).views(["a"], NOW)[0]
-        assert (view.alive, view.heard_ago) == (False, None)
+        assert (view.alive, view.since_contact) == (False, None)
 
     def test_a_restarted_host_runs_past_its_old_counter(self):
         table = MemberTable(own=row("me", 1))
@@ -96,30 +96,30 @@
         other = MemberTable(own=row("other", 1))
         other.merge([row("me", 5)], NOW)
         table.change_own(now=NOW, host_id="you", failure_domain="tigre")
-        other.merge([table.own, *table.take_news(9)], NOW)
+        other.merge([table.own, *table.pop_updates(9)], NOW)
         assert [
-            (known.host_id, known.failure_domain) for known in other.in_reach()
+            (known.host_id, known.failure_domain) for known in other.reachable()
         ] == [("you", "tigre")]
         # Late word of the old name changes nothing, and it may come back.
         other.merge([row("me", 5)], NOW)
-        assert [known.host_id for known in other.in_reach()] == ["you"]
+        assert [known.host_id for known in other.reachable()] == ["you"]
         table.change_own(now=NOW, host_id="me")
-        other.merge([table.own, *table.take_news(9)], NOW)
-        assert [known.host_id for known in other.in_reach()] == ["me"]
+        other.merge([table.own, *table.pop_updates(9)], NOW)
+        assert [known.host_id for known in other.reachable()] == ["me"]
 
     def test_a_name_that_another_host_has_is_its_own_again(self):
         mine, theirs = row("me", 5), row("me", 9)
         table, other = MemberTable(own=mine), MemberTable(own=theirs)
         table.change_own(now=NOW, host_id="you")
-        other.merge([table.own, *table.take_news(9)], NOW)
+        other.merge([table.own, *table.pop_updates(9)], NOW)
         table.merge([other.own], NOW)
-        assert [known.host_id for known in table.in_reach()] == ["me"]
-        assert [known.host_id for known in other.in_reach()] == ["you"]
+        assert [known.host_id for known in table.reachable()] == ["me"]
+        assert [known.host_id for known in other.reachable()] == ["you"]
 
     def test_what_is_gone_for_others_is_suspected_first(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row("a", 5)], NOW)
-        table.merge([msgspec.structs.replace(row("a", 5), state=MemberState.GONE)], NOW)
+        table.merge([msgspec.structs.replace(row("a", 5), state=MemberState.DEAD)], NOW)
         assert table.views([], NOW)[0].alive
         table.expire(SUSPECT_FOR)
         assert not table.views([], NOW)[0].alive
@@ -147,22 +147,22 @@
 
     def test_a_new_configuration_is_no_news(self):
         table = MemberTable(own=row("me", 1))
-        while table.has_news:
-            table.take_news(NEWS_ROWS)
+        while table.has_updates:
+            table.pop_updates(UPDATE_ROWS)
         table.update_own(config_version=5, leaving=False)
         assert (table.own.config_version, table.own.counter) == (5, 1)
-        assert not table.has_news
+        assert not table.has_updates
 
     def test_a_change_is_told_a_number_of_times_and_no_more(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row(f"h{n}", 1) for n in range(30)], NOW)
         told = Counter(
-            item.host_id for _ in range(100) for item in table.take_news(NEWS_ROWS)
+            item.host_id for _ in range(100) for item in table.pop_updates(UPDATE_ROWS)
         )
-        assert set(told.values()) == {TOLD_PER_LOG * 5}
-        assert not table.has_news
+        assert set(told.values()) == {SENDS_PER_LOG * 5}
+        assert not table.has_updates
         table.suspect("h3", NOW)
-        assert [item.host_id for item in table.take_news(NEWS_ROWS)] == ["h3"]
+        assert [item.host_id for item in table.pop_updates(UPDATE_ROWS)] == ["h3"]
 
 
 SIZES = [(30, 3), (195, 5), (330, 6)]
@@ -260,7 +260,7 @@
             await asyncio.sleep(60)
             by_id = {node.id: node for node in fleet.nodes}
             for item in inside:
-                assert len(by_id[item.host_id].table.in_reach()) >= len(inside) - 1
+                assert len(by_id[item.host_id].table.reachable()) >= len(inside) - 1
             fleet.sides = {}
             await fleet.wait_until(lambda: fleet.all_know(hosts - 1), limit=30)
 
@@ -351,7 +351,7 @@
     def test_each_channel_alone_takes_an_endpoint_out(self):
         catalog = make_catalog([SERVICE], [make_endpoint()])
         by_list = Departures()
-        by_list.take_list(
+        by_list.merge_host_list(
             [HostEntry(id="h1", failure_domain="p", state="leaving")], catalog
         )
         by_peer = Departures()
@@ -364,7 +364,7 @@
         departures.note(make_endpoint(3).start, channel="test")
         departures.note(make_endpoint(1).start, channel="late")
         live = [HostEntry(id="h1", failure_domain="p", state="live")]
-        departures.take_list(live, make_catalog([SERVICE], [make_endpoint(3)]))
+        departures.merge_host_list(live, make_catalog([SERVICE], [make_endpoint(3)]))
         assert departures.is_leaving(make_endpoint(3))
         assert not departures.is_leaving(make_endpoint(4))
 
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -107,7 +107,7 @@
         return
     adapter = PlatformAdapter()
     adapter.connect(
-        endpoint, pool=None, clock=None, notes=None, find_address=lambda name: None
+        endpoint, pool=None, clock=None, recorder=None, find_address=lambda name: None
     )
 
 
--- a/tests/test_own_pauses.py
+++ b/tests/test_own_pauses.py
@@ -23,8 +23,12 @@
 import uvloop
 
 from passtally.clock import SystemClock
-from passtally.fair_timeout import LAST_LOOK, FairTimeout, sleep_fairly
 from passtally.front_host import STOP_MARGIN
+from passtally.pause_aware_timeout import (
+    LAST_LOOK,
+    PauseAwareTimeout,
+    sleep_pause_aware,
+)
 from standins.platform_config import ENGINE, KEY, LOOKUPS
 from standins.runner import RunnerStandIn
 from standins.virtual import SuspendableClock, run_virtually
@@ -47,7 +51,9 @@
     def test_what_came_while_the_host_did_not_run_is_taken(self, new_loop):
         async def test() -> None:
             loop = asyncio.get_running_loop()
-            async with FairTimeout(timedelta(milliseconds=50), clock=SystemClock()):
+            async with PauseAwareTimeout(
+                timedelta(milliseconds=50), clock=SystemClock()
+            ):
                 # Told in the pass of the loop after that of the timers.
                 loop.call_soon(time.sleep, 0.2)
                 await asyncio.sleep(0)
@@ -63,7 +69,9 @@
             loop = asyncio.get_running_loop()
             began = loop.time()
             with pytest.raises(TimeoutError):
-                async with FairTimeout(timedelta(milliseconds=50), clock=SystemClock()):
+                async with PauseAwareTimeout(
+                    timedelta(milliseconds=50), clock=SystemClock()
+                ):
                     loop.call_soon(time.sleep, 0.2)
                     await asyncio.sleep(3)
             assert loop.time() - began < 0.2 + 20 * LAST_LOOK.total_seconds()
@@ -74,15 +82,17 @@
     def test_one_that_runs_ends_in_time(self, new_loop):
         async def test() -> None:
             with pytest.raises(TimeoutError):
-                async with FairTimeout(timedelta(milliseconds=20), clock=SystemClock()):
+                async with PauseAwareTimeout(
+                    timedelta(milliseconds=20), clock=SystemClock()
+                ):
                     await asyncio.sleep(3)
-            async with FairTimeout(
+            async with PauseAwareTimeout(
                 timedelta(milliseconds=20), clock=SystemClock()
             ) as scope:
                 scope.extend(timedelta(seconds=3))
                 await asyncio.sleep(0.05)
             with pytest.raises(TimeoutError):
-                async with FairTimeout(
+                async with PauseAwareTimeout(
                     timedelta(seconds=3), clock=SystemClock()
                 ) as scope:
                     scope.expire()
@@ -96,7 +106,7 @@
             loop = asyncio.get_running_loop()
             loop.call_soon(time.sleep, 0.2)
             began = loop.time()
-            await sleep_fairly(timedelta(milliseconds=50), clock=SystemClock())
+            await sleep_pause_aware(timedelta(milliseconds=50), clock=SystemClock())
             assert loop.time() - began >= 0.2 + LAST_LOOK.total_seconds()
 
         run_in(new_loop, test)
@@ -111,7 +121,7 @@
             loop = asyncio.get_running_loop()
             loop.call_later(1, clock.suspend, timedelta(seconds=7))
             with pytest.raises(TimeoutError):
-                async with FairTimeout(timedelta(seconds=5), clock=clock):
+                async with PauseAwareTimeout(timedelta(seconds=5), clock=clock):
                     await asyncio.sleep(60)
             assert loop.time() < 1.5, "seconds that it ran"
 
@@ -123,7 +133,7 @@
             loop = asyncio.get_running_loop()
             loop.call_later(1, clock.suspend, timedelta(seconds=2))
             with pytest.raises(TimeoutError):
-                async with FairTimeout(timedelta(seconds=5), clock=clock):
+                async with PauseAwareTimeout(timedelta(seconds=5), clock=clock):
                     await asyncio.sleep(60)
             assert 2.9 < loop.time() < 3.1, "seconds that it ran"
 
@@ -141,7 +151,7 @@
                 loop.call_later(0.005, came.set_result, 1)
 
             loop.call_later(0.999, wake)
-            async with FairTimeout(timedelta(seconds=3), clock=clock):
+            async with PauseAwareTimeout(timedelta(seconds=3), clock=clock):
                 assert await came == 1
 
         run_virtually(test())
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -75,7 +75,7 @@
             heard = []
             first.start()
             news = HostNews(host_id="a", loads_by_endpoint={}, lost=["old"])
-            await first.tell(["b"], news)
+            await first.send_message(["b"], news)
             second.listen(HostNews, heard.append)
             second.on(FetchConfig, answer)
             second.start()
--- a/tests/test_piled_changes.py
+++ b/tests/test_piled_changes.py
@@ -70,7 +70,7 @@
             relist_pause=lambda: timedelta(milliseconds=200),
             wait=timedelta(seconds=1.8),
             pause=timedelta(milliseconds=375),
-            last_retry=timedelta(seconds=RETRY_S),
+            max_retry_delay=timedelta(seconds=RETRY_S),
         )
 
     def _take(self, listing: Listing) -> None:
--- a/tests/test_platform_host.py
+++ b/tests/test_platform_host.py
@@ -671,12 +671,14 @@
                 await asyncio.sleep(0.02)
             task = asyncio.create_task(system.stream(host=first))
             while not any(
-                second.board.load(second.fleet.start_of(name)).held
+                second.load_table.load(second.fleet.start_of(name)).held
                 for name in system.runners
             ):
                 await asyncio.sleep(0.01)
             lost = next(r for r in system.runners.values() if not r.ran)
-            first.fleet.note_loss(first.fleet.find(lost.name), is_gone=True)
+            first.fleet.record_loss(
+                first.fleet.find(lost.name), is_endpoint_unreachable=True
+            )
             while not second.fleet.find(lost.name).is_ejected:
                 await asyncio.sleep(0.01)
             await task
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -12,10 +12,10 @@
 from passtally.objects import EndpointState
 from passtally.platform import names
 from passtally.platform.decode import (
-    count_unread_runs,
+    count_waiting_runs,
+    decode_cached_parts,
     decode_copy_handle,
     decode_endpoint,
-    decode_kept_parts,
     decode_routes,
     encode_copy_order,
 )
@@ -145,10 +145,10 @@
     def test_the_runs_without_output_are_counted(self):
         report = {"models": [], "queued": 2, "running": 3}
         runs = [["q1", 5200, 14, 5], ["q2", 250.0, 0, 5], ["q3", 0, 0, 0]]
-        assert count_unread_runs(msgspec.json.encode(report | {"runs": runs})) == 4
-        assert count_unread_runs(msgspec.json.encode(report)) == 2
+        assert count_waiting_runs(msgspec.json.encode(report | {"runs": runs})) == 4
+        assert count_waiting_runs(msgspec.json.encode(report)) == 2
         with pytest.raises(ValueError, match="runs"):
-            count_unread_runs(msgspec.json.encode(report | {"runs": "none"}))
+            count_waiting_runs(msgspec.json.encode(report | {"runs": "none"}))
 
     @pytest.mark.parametrize(
         ("queued", "running", "with_output", "unread"),
@@ -164,7 +164,7 @@
         """
         runs = [["r", 8300, 12, 5]] * with_output
         body = {"models": [], "queued": queued, "running": running, "runs": runs}
-        assert count_unread_runs(msgspec.json.encode(body)) == unread
+        assert count_waiting_runs(msgspec.json.encode(body)) == unread
 
     def test_the_parts_that_are_kept_follow_from_the_events(self):
         events = [
@@ -174,9 +174,9 @@
             [4, "+", "", "e440", 250, "m"],
         ]
         body = {"epoch": 3, "next_token": 5, "lost": False, "events": events}
-        assert decode_kept_parts(msgspec.json.encode(body)) == {"91bd", "e440"}
+        assert decode_cached_parts(msgspec.json.encode(body)) == {"91bd", "e440"}
         with pytest.raises(ValueError, match="events"):
-            decode_kept_parts(b"{}")
+            decode_cached_parts(b"{}")
 
     def test_a_split_route_has_shares(self):
         config = make_config()
--- a/tests/test_process_limits.py
+++ b/tests/test_process_limits.py
@@ -114,12 +114,12 @@
             address = Address(host="127.0.0.1", port=port_b)
             try:
                 async with echo(port_b) as server:
-                    a.meet(
+                    a.add_peer(
                         PeerAddress(
                             host_id="b", failure_domain="pilar", address=address
                         )
                     )
-                    while not await a.is_in_reach("b"):
+                    while not await a.is_reachable("b"):
                         await asyncio.sleep(0.01)
                     # What is connected stays so; only new connections reach the host.
                     server.close()
@@ -141,12 +141,16 @@
             port_a, port_b = free_ports(2)
             a = make_peers("a", port_a)
             address = Address(host="127.0.0.1", port=port_b)
-            a.meet(PeerAddress(host_id="b", failure_domain="pilar", address=address))
+            a.add_peer(
+                PeerAddress(host_id="b", failure_domain="pilar", address=address)
+            )
             question = asyncio.create_task(a.ask("b", FetchConfig(after=0)))
             try:
                 # Its first step is to hand the question to the link.
                 await asyncio.sleep(0)
-                telling = asyncio.create_task(a.tell(["b"], FetchConfig(after=0)))
+                telling = asyncio.create_task(
+                    a.send_message(["b"], FetchConfig(after=0))
+                )
                 await asyncio.wait([telling, question], return_when="FIRST_COMPLETED")
                 assert telling.done()
                 assert telling.result() == set()
@@ -174,10 +178,12 @@
             b.start()
             await b.bind()
             address = Address(host="127.0.0.1", port=port_b)
-            a.meet(PeerAddress(host_id="b", failure_domain="pilar", address=address))
+            a.add_peer(
+                PeerAddress(host_id="b", failure_domain="pilar", address=address)
+            )
             try:
                 await a.ask("b", FetchConfig(after=0))
-                await a.tell(["b"], FetchConfig(after=0))
+                await a.send_message(["b"], FetchConfig(after=0))
                 await ask_until_answered(a, "b", within=timedelta(seconds=5))
                 assert heard
             finally:
@@ -202,8 +208,8 @@
             roster = Roster(seeds=(), table=table, peers=a, clock=clock)
             try:
                 with no_descriptors(), pytest.raises(zmq.ZMQError):
-                    roster.meet()
-                roster.meet()
+                    roster.update_links()
+                roster.update_links()
                 await ask_until_answered(a, "b", within=timedelta(seconds=5))
             finally:
                 await a.stop()
@@ -223,8 +229,8 @@
             )
             try:
                 with no_descriptors(), pytest.raises(zmq.ZMQError):
-                    a.meet(peer)
-                a.forget("b")
+                    a.add_peer(peer)
+                a.remove_peer("b")
                 assert a.ids == []
             finally:
                 await a.stop()
--- a/tests/test_prompts_found.py
+++ b/tests/test_prompts_found.py
@@ -32,7 +32,7 @@
         reported_streams=0,
         own_at_report=0,
         max_streams=32,
-        reading_tokens=reading * PROMPT,
+        prefill_tokens=reading * PROMPT,
         capacity_tokens=55_000,
     )
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -11,22 +11,22 @@
 from hypothesis import strategies as st
 
 from passtally.clock import ManualClock
-from passtally.crash_guard import SOON, CrashGuard
+from passtally.crash_guard import CRASH_WINDOW, CrashGuard
 from passtally.fingerprint import fingerprint_of
 from passtally.messages import CrashRow, MemberRow
 from passtally.objects import EndpointStart
 from passtally.operator_api import OperatorApi
 from passtally.outcome import Outcome, RefusedError
 from passtally.quarantine import (
-    KEPT_FOR,
     MAX_CRASHES,
     MAX_NAMED,
     MAX_SUSPECTS,
     MAX_TRUSTED,
+    RETENTION_TIME,
     TRUSTED_FOR,
     Quarantine,
 )
-from passtally.quarantine_news import MAX_ROWS, QuarantineExchange
+from passtally.quarantine_exchange import MAX_ROWS, QuarantineExchange
 from standins.virtual import VirtualClock, run_virtually
 from tests.rated_network import FixedRoster, RatedNetwork
 
@@ -42,7 +42,7 @@
 
 def crash(quarantine: Quarantine, *numbers: int, now: timedelta = NOW) -> None:
     for number in numbers:
-        quarantine.note_crash(REQUEST, start(number), now=now)
+        quarantine.record_crash(REQUEST, start(number), now=now)
 
 
 class TestFingerprint:
@@ -62,7 +62,7 @@
         for number in range(MAX_CRASHES):
             assert quarantine.remaining(REQUEST, now=NOW) is None
             crash(quarantine, number)
-        assert quarantine.remaining(REQUEST, now=NOW) == KEPT_FOR
+        assert quarantine.remaining(REQUEST, now=NOW) == RETENTION_TIME
         assert quarantine.remaining(b"another", now=NOW) is None
 
     def test_the_end_of_one_start_counts_once(self):
@@ -73,13 +73,13 @@
     def test_starts_under_one_id_count_each(self):
         quarantine = Quarantine()
         for incarnation in range(MAX_CRASHES):
-            quarantine.note_crash(REQUEST, start(1, incarnation), now=NOW)
+            quarantine.record_crash(REQUEST, start(1, incarnation), now=NOW)
         assert quarantine.remaining(REQUEST, now=NOW)
 
     def test_a_good_end_clears_it_of_all_ends_before(self):
         quarantine = Quarantine()
         crash(quarantine, 1, 2)
-        quarantine.note_good(REQUEST, now=NOW)
+        quarantine.record_success(REQUEST, now=NOW)
         later = NOW + TRUSTED_FOR + timedelta(seconds=1)
         crash(quarantine, 3, 4, now=later)
         assert quarantine.remaining(REQUEST, now=later) is None
@@ -88,15 +88,18 @@
 
     def test_what_ended_well_a_moment_ago_ends_nothing(self):
         quarantine = Quarantine()
-        quarantine.note_good(REQUEST, now=NOW)
+        quarantine.record_success(REQUEST, now=NOW)
         crash(quarantine, *range(9), now=NOW + TRUSTED_FOR)
         assert quarantine.remaining(REQUEST, now=NOW + TRUSTED_FOR) is None
 
     def test_it_lapses_after_the_last_end(self):
         quarantine = Quarantine()
         crash(quarantine, 1, 2, 3)
-        assert quarantine.remaining(REQUEST, now=NOW + KEPT_FOR / 2) == KEPT_FOR / 2
-        later = NOW + KEPT_FOR + timedelta(seconds=1)
+        assert (
+            quarantine.remaining(REQUEST, now=NOW + RETENTION_TIME / 2)
+            == RETENTION_TIME / 2
+        )
+        later = NOW + RETENTION_TIME + timedelta(seconds=1)
         assert quarantine.remaining(REQUEST, now=later) is None
         assert quarantine.held(now=later) == []
         crash(quarantine, 4, now=later)
@@ -115,10 +118,10 @@
         quarantine = Quarantine()
         for number in range(2 * MAX_TRUSTED):
             fingerprint = number.to_bytes(4)
-            quarantine.note_good(fingerprint, now=NOW)
+            quarantine.record_success(fingerprint, now=NOW)
             if number < 2 * MAX_SUSPECTS:
                 fingerprint = b"s" + fingerprint
-                quarantine.note_crash(fingerprint, start(1), now=NOW)
+                quarantine.record_crash(fingerprint, start(1), now=NOW)
         crash(quarantine, *range(2 * MAX_NAMED))
         rows = quarantine.rows(now=NOW)
         assert len(quarantine._suspects) == MAX_SUSPECTS
@@ -139,10 +142,10 @@
         sent: list[CrashRow] = []
         for number, (at, event) in enumerate(events):
             if event == "crash":
-                hosts[at].note_crash(REQUEST, start(number % 7), now=NOW)
+                hosts[at].record_crash(REQUEST, start(number % 7), now=NOW)
             elif event == "lift":
                 hosts[at].lift(REQUEST)
-            sent += hosts[at].take_rows(9, now=NOW, told_before=NOW)
+            sent += hosts[at].pop_updates(9, now=NOW, told_before=NOW)
         sent *= 2
         for host in hosts:
             rng.shuffle(sent)
@@ -156,7 +159,7 @@
 
     def test_a_host_where_it_ended_well_clears_what_others_count(self):
         here, there = Quarantine(), Quarantine()
-        here.note_good(REQUEST, now=NOW)
+        here.record_success(REQUEST, now=NOW)
         crash(there, 1, 2, 3)
         for row in there.rows(now=NOW):
             here.merge(row, now=NOW)
@@ -168,9 +171,9 @@
     def test_how_long_ago_it_was_is_told(self):
         here, there = Quarantine(), Quarantine()
         crash(here, 1, 2, 3)
-        [row] = here.rows(now=NOW + KEPT_FOR / 2)
+        [row] = here.rows(now=NOW + RETENTION_TIME / 2)
         there.merge(row, now=timedelta(days=9))
-        assert there.remaining(REQUEST, now=timedelta(days=9)) == KEPT_FOR / 2
+        assert there.remaining(REQUEST, now=timedelta(days=9)) == RETENTION_TIME / 2
 
     def test_what_is_too_old_is_not_taken(self):
         row = CrashRow(
@@ -183,15 +186,15 @@
     def test_news_goes_first_and_a_part_at_a_time(self):
         quarantine = Quarantine()
         for number in range(3 * MAX_ROWS):
-            quarantine.note_crash(number.to_bytes(4), start(1), now=NOW)
+            quarantine.record_crash(number.to_bytes(4), start(1), now=NOW)
         crash(quarantine, 1, 2)
-        rows = quarantine.take_rows(MAX_ROWS, now=NOW, told_before=NOW)
+        rows = quarantine.pop_updates(MAX_ROWS, now=NOW, told_before=NOW)
         assert len(rows) == MAX_ROWS
         assert rows[0].fingerprint == REQUEST
-        while quarantine.has_news:
-            assert quarantine.take_rows(MAX_ROWS, now=NOW, told_before=NOW)
+        while quarantine.has_updates:
+            assert quarantine.pop_updates(MAX_ROWS, now=NOW, told_before=NOW)
         later = NOW + timedelta(seconds=5)
-        again = quarantine.take_rows(MAX_ROWS, now=later, told_before=NOW)
+        again = quarantine.pop_updates(MAX_ROWS, now=later, told_before=NOW)
         assert [row.fingerprint for row in again] == [REQUEST], "the others ended one"
 
 
@@ -213,34 +216,34 @@
         self.clock.advance(NOW)
         self.held: list[bytes] = []
         return CrashGuard(
-            quarantine=Quarantine(), clock=self.clock, on_held=self.held.append
+            quarantine=Quarantine(), clock=self.clock, on_quarantined=self.held.append
         )
 
     def test_it_is_refused_as_not_run_with_the_time_to_come_back(self):
         guard = self.make()
         for number in range(MAX_CRASHES):
             guard.check(REQUEST, service="s")
-            guard.note_end(REQUEST, LiveStandIn(number), began_at=NOW)
+            guard.record_end(REQUEST, LiveStandIn(number), began_at=NOW)
         with pytest.raises(RefusedError) as caught:
             guard.check(REQUEST, service="s")
         failure = caught.value.failure
         assert (failure.status, failure.outcome) == (503, Outcome.NOT_RUN)
-        assert failure.retry_after == KEPT_FOR
+        assert failure.retry_after == RETENTION_TIME
         assert self.held == [REQUEST], "told once"
 
     def test_what_had_run_for_long_or_had_not_begun_among_others_is_innocent(self):
         guard = self.make()
         for number in range(9):
-            guard.note_end(REQUEST, LiveStandIn(number), began_at=None)
-            began_at = NOW - SOON - timedelta(milliseconds=1)
-            guard.note_end(REQUEST, LiveStandIn(number), began_at=began_at)
+            guard.record_end(REQUEST, LiveStandIn(number), began_at=None)
+            began_at = NOW - CRASH_WINDOW - timedelta(milliseconds=1)
+            guard.record_end(REQUEST, LiveStandIn(number), began_at=began_at)
         guard.check(REQUEST, service="s")
 
     def test_what_was_alone_there_is_suspected_before_it_answers(self):
         guard = self.make()
         for number in range(MAX_CRASHES):
             live = LiveStandIn(number, has_served_one=True)
-            guard.note_end(REQUEST, live, began_at=None)
+            guard.record_end(REQUEST, live, began_at=None)
         with pytest.raises(RefusedError):
             guard.check(REQUEST, service="s")
 
@@ -274,7 +277,7 @@
     def test_they_see_what_is_refused_and_lift_it(self):
         guard = TestGuard().make()
         for number in range(MAX_CRASHES):
-            guard.note_crash(REQUEST, LiveStandIn(number))
+            guard.record_crash(REQUEST, LiveStandIn(number))
         row = {"id": REQUEST.hex(), "ended": ["e0/0", "e1/0", "e2/0"]}
         assert msgspec.json.decode(self.call(guard, "list_quarantined")) == [row]
         self.call(guard, "lift", id=REQUEST.hex())
@@ -328,7 +331,7 @@
     def crash(self, *hosts: str) -> None:
         """End three endpoints, each seen by another host."""
         for number, host_id in enumerate(hosts):
-            self.guards[host_id].note_crash(REQUEST, LiveStandIn(number))
+            self.guards[host_id].record_crash(REQUEST, LiveStandIn(number))
 
     def count_held(self) -> int:
         return sum(guard.remaining(REQUEST) is not None for guard in self.held_by())
@@ -367,7 +370,7 @@
             await asyncio.sleep(2)
             fleet.network.cut = {row.host_id for row in fleet.rows[3::3]}
             fleet.crash("h001", "h002", "h001")
-            fleet.guards["h001"].note_crash(REQUEST, LiveStandIn(7))
+            fleet.guards["h001"].record_crash(REQUEST, LiveStandIn(7))
             await asyncio.sleep(10)
             assert fleet.count_held() == len(fleet.held_by())
             fleet.network.cut = set()
@@ -416,7 +419,7 @@
             rng = random.Random(1)
             for number in range(2000):
                 guard = fleet.guards[f"h{rng.randrange(30):03}"]
-                guard.note_crash(number.to_bytes(4), LiveStandIn(number % 100))
+                guard.record_crash(number.to_bytes(4), LiveStandIn(number % 100))
             await asyncio.sleep(5)
             links = fleet.network.peers_by_id.values()
             assert max(peers.up.longest_backlog for peers in links) < 0.2, "seconds"
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -13,7 +13,7 @@
 from passtally.dispatcher import Dispatcher
 from passtally.engine import AttemptLostError
 from passtally.fleet import Fleet
-from passtally.forecast import LEAST_SEEN, Forecast
+from passtally.forecast import MIN_SAMPLES, Forecast
 from passtally.generation import Attempt, Generation, GenerationRequest, TokenEvent
 from passtally.messages import DepartureRow, TokenLoad
 from passtally.objects import Endpoint, EndpointState, Service, ServiceKind
@@ -62,24 +62,24 @@
         return choose_endpoint(query, views, now=NOW).endpoint_id
 
     def test_a_prompt_goes_where_the_least_is_to_be_read(self):
-        busy = view("a", reading_tokens=5_000)
-        assert self.choose(busy, view("b", held_tokens=9_000)) == "b"
+        busy = view("a", prefill_tokens=5_000)
+        assert self.choose(busy, view("b", kv_tokens=9_000)) == "b"
 
     def test_replicas_in_its_memory_hold_nobody_up_and_streams_do(self):
-        keeper = view("a", held_tokens=40_000)
-        runner = view("b", held_tokens=10_000, running_streams=1)
+        keeper = view("a", kv_tokens=40_000)
+        runner = view("b", kv_tokens=10_000, running_streams=1)
         query = attrs.evolve(QUERY, prompt_tokens=5_000)
         assert self.choose(keeper, runner, query=query) == "a"
 
     def test_holding_up_many_is_worse_than_waiting_for_one(self):
         crowded = view("a", running_streams=3)
-        reading = view("b", reading_tokens=5_000)
+        reading = view("b", prefill_tokens=5_000)
         query = attrs.evolve(QUERY, prompt_tokens=5_000)
         assert self.choose(crowded, reading, query=query) == "b"
 
     def test_what_is_being_read_will_be_held_up_too(self):
         running = view("a", running_streams=1)
-        reading = view("b", reading_tokens=3_000)
+        reading = view("b", prefill_tokens=3_000)
         query = attrs.evolve(QUERY, prompt_tokens=5_000)
         assert self.choose(running, reading, query=query) == "a"
 
@@ -87,24 +87,24 @@
         assert self.choose(view("a", "tigre"), view("b")) == "b"
 
     def test_another_domain_is_taken_where_its_own_reads(self):
-        assert self.choose(view("a", "tigre"), view("b", reading_tokens=5_000)) == "a"
+        assert self.choose(view("a", "tigre"), view("b", prefill_tokens=5_000)) == "a"
 
     def test_a_full_memory_is_avoided(self):
-        full = view("b", held_tokens=52_000)
-        assert self.choose(view("a", "tigre", held_tokens=30_000), full) == "a"
+        full = view("b", kv_tokens=52_000)
+        assert self.choose(view("a", "tigre", kv_tokens=30_000), full) == "a"
 
     def test_a_little_too_much_in_a_memory_is_better_than_a_long_wait(self):
-        full = view("b", held_tokens=52_000, running_streams=3)
-        waiting = view("a", reading_tokens=28_000, running_streams=1)
+        full = view("b", kv_tokens=52_000, running_streams=3)
+        waiting = view("a", prefill_tokens=28_000, running_streams=1)
         query = attrs.evolve(QUERY, prompt_tokens=5_000)
         assert self.choose(waiting, full, query=query) == "b"
 
     def test_a_domain_with_a_loss_is_avoided_while_another_is_calm(self):
-        assert self.choose(view("a", "tigre"), view("b", is_shaky=True)) == "a"
-        assert self.choose(view("b", is_shaky=True)) == "b"
+        assert self.choose(view("a", "tigre"), view("b", is_unstable=True)) == "a"
+        assert self.choose(view("b", is_unstable=True)) == "b"
 
     def test_one_on_trial_gets_no_second_request(self):
-        assert self.choose(view("a", is_on_trial=True)) is None
+        assert self.choose(view("a", is_half_open=True)) is None
 
     def test_equal_ones_are_spread_by_the_prompt(self):
         views = [view(name) for name in "abcd"]
@@ -129,12 +129,12 @@
         views = [
             view("a", "tigre"),
             view("b", "escobar"),
-            view("c", held_tokens=20_000),
+            view("c", kv_tokens=20_000),
         ]
         assert self.place("a", *views) == "c"
 
     def test_a_crowded_own_domain_keeps_no_more(self):
-        crowded = view("c", held_tokens=50_000)
+        crowded = view("c", kv_tokens=50_000)
         assert self.place("a", view("a", "tigre"), view("b", "escobar"), crowded) == "b"
 
     def test_its_own_domain_is_better_than_none(self):
@@ -161,7 +161,7 @@
             view(
                 f"e{n}",
                 domain,
-                held_tokens=held,
+                kv_tokens=held,
                 ejected_until=timedelta(seconds=1) if is_ejected else None,
             )
             for n, (domain, held, is_ejected) in enumerate(specs)
@@ -181,7 +181,9 @@
             holder=holder,
         ).step
 
-    @pytest.mark.parametrize("kind", [LossKind.RESET, LossKind.FROZEN, LossKind.SEAM])
+    @pytest.mark.parametrize(
+        "kind", [LossKind.RESET, LossKind.FROZEN, LossKind.RESUME_MISMATCH]
+    )
     def test_a_run_goes_on_from_its_replica(self, kind):
         assert self.decide(kind, Holder.REPLICA) is NextStep.ATTACH
 
@@ -255,12 +257,12 @@
     async def drop_copy(self, replica_ref: str, target: str) -> None:
         self.engines.by_id[target].replicas.discard(replica_ref)
 
-    async def count_unread(self) -> int:
+    async def count_waiting(self) -> int:
         await asyncio.sleep(0.001)
         self._check()
         return self.unread
 
-    async def list_kept_prompts(self) -> tuple[str, ...]:
+    async def list_cached_prompts(self) -> tuple[str, ...]:
         self._check()
         return tuple(self.kept_prompts)
 
@@ -514,7 +516,7 @@
             first = await world.running()
             keeper = world.keeper()
             keeper.die()
-            world.fleet.note_peer_loss(world.fleet.start_of(keeper.name))
+            world.fleet.record_peer_loss(world.fleet.start_of(keeper.name))
             while not first.copies:
                 assert not task.done()
                 await asyncio.sleep(0.01)
@@ -553,7 +555,7 @@
                 await asyncio.sleep(0.3)
                 keeper = world.keeper()
                 keeper.die()
-                world.fleet.note_peer_loss(world.fleet.start_of(keeper.name))
+                world.fleet.record_peer_loss(world.fleet.start_of(keeper.name))
                 lost_at = asyncio.get_running_loop().time()
                 while first.copies < copies:
                     assert not task.done()
@@ -571,7 +573,7 @@
             first = await world.running()
             keeper = world.keeper()
             keeper.die()
-            world.fleet.note_peer_loss(world.fleet.start_of(keeper.name))
+            world.fleet.record_peer_loss(world.fleet.start_of(keeper.name))
             while not first.copies:
                 assert not task.done()
                 await asyncio.sleep(0.01)
@@ -661,7 +663,7 @@
     def test_one_with_too_little_time_left_is_refused_at_once(self):
         async def test() -> None:
             world = World()
-            for _ in range(LEAST_SEEN):
+            for _ in range(MIN_SAMPLES):
                 await world.start()
             opened = len(world.engines.opened)
             began = world.clock.monotonic()
@@ -676,7 +678,7 @@
     def test_one_with_time_enough_is_gone_on_with(self):
         async def test() -> None:
             world = World()
-            for _ in range(LEAST_SEEN):
+            for _ in range(MIN_SAMPLES):
                 await world.start()
             await world.start(position=10, time_left=timedelta(seconds=3))
             assert world.sink.data.endswith(b"60 ")
@@ -703,7 +705,7 @@
 
     async def make_world(self) -> World:
         world = World()
-        for _ in range(LEAST_SEEN):
+        for _ in range(MIN_SAMPLES):
             await world.start()
         world.others_load = TokenLoad(reading=25_000)
         return world
@@ -753,9 +755,9 @@
 class TestSurvey:
     """The pilar engines a1, a2 go first; the tigre ones b1, b2 count as far."""
 
-    async def place(self, unread_by_id: dict[str, int | None], **options) -> str:
+    async def place(self, waiting_by_id: dict[str, int | None], **options) -> str:
         world = World(**options)
-        for endpoint_id, unread in unread_by_id.items():
+        for endpoint_id, unread in waiting_by_id.items():
             world.fleet.find(endpoint_id)
             engine = world.engines.by_id[endpoint_id]
             engine.unread = unread or 0
--- a/tests/test_request_limits.py
+++ b/tests/test_request_limits.py
@@ -10,8 +10,8 @@
 from passtally.limit_sharers import LimitSharers
 from passtally.messages import LimitRow, MemberRow
 from passtally.objects import Endpoint, EndpointStart, Service, ServiceKind
-from passtally.platform.answer_words import decode_limit
-from passtally.request_limits import KEPT_FOR, MAX_TOLD, RequestLimits
+from passtally.platform.answer_directives import decode_limit
+from passtally.request_limits import MAX_SENT, RETENTION_TIME, RequestLimits
 from standins.platform_config import ENGINE, LOOKUPS
 from tests.endpoint_load import send_load, start_linked
 from tests.fakes import make_catalog
@@ -66,7 +66,7 @@
 ) -> RequestLimits:
     """Return what a host knows that an endpoint has just told its limit."""
     limits = RequestLimits(count_hosts=lambda: hosts, rank=lambda endpoint_id: rank)
-    limits.note_answer(START, rate, sent_at=NOW, now=NOW)
+    limits.record_answer(START, rate, sent_at=NOW, now=NOW)
     return limits
 
 
@@ -77,7 +77,7 @@
         now = NOW + number * STEP
         for limits in hosts:
             if number % 100 == 0:
-                limits.note_answer(
+                limits.record_answer(
                     START, limits.rows(now=now)[0].rate, sent_at=now, now=now
                 )
             while limits.take(START, now=now):
@@ -136,12 +136,12 @@
     def test_without_a_limit_there_is_room(self):
         limits = RequestLimits()
         assert all(limits.take(START, now=NOW) for _ in range(100))
-        assert limits.wait_for_room(START, now=NOW) == timedelta(0)
+        assert limits.time_until_capacity(START, now=NOW) == timedelta(0)
 
     def test_from_the_first_answer_that_names_it_nothing_more_is_sent_at_once(self):
         limits = limited(2.0)
         assert not limits.take(START, now=NOW)
-        wait = limits.wait_for_room(START, now=NOW)
+        wait = limits.time_until_capacity(START, now=NOW)
         assert wait == timedelta(seconds=0.5)
         assert limits.take(START, now=NOW + wait)
         assert not limits.take(START, now=NOW + wait)
@@ -149,15 +149,15 @@
     def test_an_answer_without_it_lifts_it_and_one_with_another_changes_it(self):
         later = NOW + timedelta(seconds=1)
         limits = limited(2.0)
-        assert limits.note_answer(START, 10.0, sent_at=NOW, now=NOW)
-        assert limits.wait_for_room(START, now=NOW) == timedelta(seconds=0.1)
-        assert limits.note_answer(START, None, sent_at=later, now=later)
+        assert limits.record_answer(START, 10.0, sent_at=NOW, now=NOW)
+        assert limits.time_until_capacity(START, now=NOW) == timedelta(seconds=0.1)
+        assert limits.record_answer(START, None, sent_at=later, now=later)
         assert all(limits.take(START, now=later) for _ in range(100))
 
     def test_an_answer_from_before_it_does_not_lift_it(self):
         limits = limited(2.0)
         later, before = NOW + timedelta(seconds=1), NOW - timedelta(seconds=1)
-        assert not limits.note_answer(START, None, sent_at=before, now=later)
+        assert not limits.record_answer(START, None, sent_at=before, now=later)
         assert limits.take(START, now=later)
         assert not limits.take(START, now=later)
 
@@ -168,18 +168,18 @@
 
     def test_one_that_takes_none_is_asked_now_and_then(self):
         limits = limited(0.0)
-        assert limits.wait_for_room(START, now=NOW) == timedelta(seconds=10)
+        assert limits.time_until_capacity(START, now=NOW) == timedelta(seconds=10)
         assert limits.take(START, now=NOW + timedelta(seconds=10))
 
     def test_a_host_without_a_part_sends_nothing_and_says_when_others_may(self):
         limits = limited(2.0, hosts=7, rank=6)
-        later = NOW + KEPT_FOR
+        later = NOW + RETENTION_TIME
         assert not limits.take(START, now=later)
-        assert limits.wait_for_room(START, now=later) == timedelta(seconds=0.5)
+        assert limits.time_until_capacity(START, now=later) == timedelta(seconds=0.5)
 
     def test_it_lapses_where_no_answer_names_it(self):
         limits = limited(2.0, hosts=7, rank=6)
-        later = NOW + KEPT_FOR + timedelta(seconds=1)
+        later = NOW + RETENTION_TIME + timedelta(seconds=1)
         assert limits.take(START, now=later)
         assert limits.rows(now=later) == []
 
@@ -216,10 +216,10 @@
 
     def test_what_is_told_is_bounded_and_the_newest(self):
         limits = RequestLimits()
-        for number in range(3 * MAX_TOLD):
+        for number in range(3 * MAX_SENT):
             start = EndpointStart(endpoint_id=f"e{number}")
             at = NOW + number * STEP
-            limits.note_answer(start, 1.0, sent_at=at, now=at)
-        rows = limits.rows(now=NOW + KEPT_FOR / 2)
-        assert len(rows) == MAX_TOLD
-        assert rows[0].endpoint_id == f"e{3 * MAX_TOLD - 1}"
+            limits.record_answer(start, 1.0, sent_at=at, now=at)
+        rows = limits.rows(now=NOW + RETENTION_TIME / 2)
+        assert len(rows) == MAX_SENT
+        assert rows[0].endpoint_id == f"e{3 * MAX_SENT - 1}"
--- a/tests/test_repeats_given_back.py
+++ b/tests/test_retry_release.py
@@ -76,10 +76,12 @@
             )
             peers.start()
             # Nobody listens there, so the question waits for the link.
-            peers.meet(PeerAddress(host_id="b", failure_domain="d", address=ports[1]))
+            peers.add_peer(
+                PeerAddress(host_id="b", failure_domain="d", address=ports[1])
+            )
             asking = asyncio.create_task(peers.ask("b", FetchConfig(after=0)))
             await asyncio.sleep(0.1)
-            peers.forget("b")
+            peers.remove_peer("b")
             with pytest.raises(PeerError):
                 await asking
             await peers.stop()
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from passtally.routes import (
+    ActiveRoutes,
     CallKind,
     Route,
     RouteSet,
-    RoutesInForce,
     ServiceShare,
     WorkspaceKeys,
 )
@@ -91,7 +91,7 @@
 
 class TestVersions:
     def test_of_another_store_the_next_set_counts_at_any_version(self):
-        in_force = RoutesInForce()
+        in_force = ActiveRoutes()
         in_force.take(RouteSet(version=9, routes=()))
         in_force.renew()
         assert in_force.current.version == 9
@@ -100,7 +100,7 @@
 
     @given(st.lists(st.integers(1, 50), min_size=1))
     def test_the_version_in_force_never_goes_back(self, versions):
-        in_force = RoutesInForce()
+        in_force = ActiveRoutes()
         highest = 0
         for version in versions:
             taken = in_force.take(RouteSet(version=version, routes=()))
--- a/tests/test_sequential_test.py
+++ b/tests/test_sequential_test.py
@@ -21,7 +21,7 @@
 
 
 class TestMixture:
-    test = MixtureTest(usual=0.05, tolerated=0.25, error=0.01)
+    test = MixtureTest(baseline=0.05, tolerated=0.25, error=0.01)
 
     def test_nothing_is_found_before_the_first_answer(self):
         assert self.test.judge(0, 0) is Finding.OPEN
@@ -48,7 +48,7 @@
 
 
 class TestRatio:
-    test = RatioTest(usual=0.05, high=0.35, error=0.01)
+    test = RatioTest(baseline=0.05, high=0.35, error=0.01)
 
     def test_it_tells_its_two_rates_apart(self):
         assert self.test.judge(20, 10) is Finding.HIGH
--- a/tests/test_service_budgets.py
+++ b/tests/test_service_budgets.py
@@ -9,7 +9,7 @@
 
 from passtally.clock import ManualClock
 from passtally.front_host import BUDGET_WARM_UP, MIN_BUDGET_HOSTS
-from passtally.retry_budget import ServiceBudgets, take_repeat
+from passtally.retry_budget import ServiceBudgets, acquire_retry
 from standins.virtual import run_virtually
 from tests.gossip_fleet import Fleet, Node
 
@@ -121,7 +121,7 @@
 
 async def take(budgets: ServiceBudgets, *, is_resume: bool) -> bool:
     """Take a repeat as requests do: from the own part, or borrowed."""
-    return await take_repeat(budgets, "w", service="s", is_resume=is_resume)
+    return await acquire_retry(budgets, "w", service="s", is_resume=is_resume)
 
 
 def make_started(node: Node, *, like: ServiceBudgets | None = None) -> ServiceBudgets:
--- a/tests/test_settings_changes.py
+++ b/tests/test_settings_changes.py
@@ -156,7 +156,7 @@
         async def test(system: PlatformSystem) -> None:
             host = await system.add_host()
             before = translate(parse_lines(WHOLE))
-            takeable = host.reloading.takers_by_name
+            takeable = host.reloading.appliers_by_name
             for key, value in CHANGES.items():
                 told = translate(parse_lines(replace_line(WHOLE, key, value)))
                 changes = find_changes(before, told)
--- a/tests/test_watch_share.py
+++ b/tests/test_shared_watch.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from passtally import watch_duty
-from passtally.watch_duty import should_watch
+from passtally import watcher_election
+from passtally.watcher_election import should_watch
 from standins.platform_config import LOOKUPS, make_config
 from tests.platform_system import PlatformSystem, run
 
@@ -18,7 +18,7 @@
 
 def is_steady(watcher, learner) -> bool:
     """Whether one host watches, and the other one has heard of it and does not."""
-    learns = learner.watch.is_reached and not learner.watch.is_watching
+    learns = learner.watch.is_receiving and not learner.watch.is_watching
     return watcher.watch.is_up and learns
 
 
@@ -56,7 +56,7 @@
 class TestLargeDomains:
     @pytest.fixture(autouse=True)
     def small_limits(self, monkeypatch):
-        monkeypatch.setattr(watch_duty, "SMALL_DOMAIN", 1)
+        monkeypatch.setattr(watcher_election, "SMALL_DOMAIN", 1)
         monkeypatch.setitem(should_watch.__kwdefaults__, "small_domain", 1)
         monkeypatch.setitem(should_watch.__kwdefaults__, "watchers", 1)
 
--- a/tests/test_silent_streams.py
+++ b/tests/test_silent_streams.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from passtally.forecast import LEAST_SEEN
+from passtally.forecast import MIN_SAMPLES
 from passtally.outcome import RefusedError
 from standins.virtual import run_virtually
 from tests.test_replicas import WHOLE, ReplicaEngine, World
@@ -102,7 +102,7 @@
 
         async def test() -> None:
             world = World()
-            for _ in range(LEAST_SEEN):
+            for _ in range(MIN_SAMPLES):
                 await world.start()
             world.dispatcher._placement._keeps_replicas = lambda service: False
             world.sink.data = b""
--- a/tests/test_skipped_changes.py
+++ b/tests/test_skipped_changes.py
@@ -17,7 +17,7 @@
 )
 from passtally.object_store import StoredObject
 from passtally.object_transfer import pack_listing
-from passtally.watch_share import View, WatchShare
+from passtally.shared_watch import SharedWatch, View
 from standins.virtual import VirtualClock, run_virtually
 from tests.fakes import FakePlatform
 from tests.rated_fleet import Fleet
@@ -38,7 +38,7 @@
         hosts=2,
         bits_per_second=RATE,
         out_of_date_after=timedelta(seconds=1),
-        last_retry=timedelta(seconds=0.8),
+        max_retry_delay=timedelta(seconds=0.8),
     )
 
 
@@ -89,7 +89,7 @@
     def listen(self, kind: type, listener) -> None:
         pass
 
-    async def tell(self, host_ids: Sequence[str], message: Message) -> set[str]:
+    async def send_message(self, host_ids: Sequence[str], message: Message) -> set[str]:
         self.told.append(message)
         return set(host_ids)
 
@@ -116,7 +116,7 @@
             for name in ("d-00", "d-01")
         ]
         self.view = View(prefix="config/", apply=apply)
-        self.share = WatchShare(
+        self.share = SharedWatch(
             host_id="d-00",
             views=(self.view,),
             follow=lambda share, view: Follower(
@@ -133,7 +133,7 @@
             roster=FixedRoster(own=rows[0], rows=rows),
             clock=clock,
             rng=random.Random(1),
-            reach_changed=lambda is_reached: None,
+            reach_changed=lambda is_receiving: None,
         )
 
 
@@ -158,7 +158,7 @@
                 return stored
 
             one.share._learner._transfer.fetch = fetch
-            one.share._learner.hear_changes(news)
+            one.share._learner.receive_changes(news)
             one.platform.is_down = False
             one.platform.version = 5
             while not one.share.is_up:
--- a/tests/test_store_comeback.py
+++ b/tests/test_store_comeback.py
@@ -128,11 +128,11 @@
             entry = runner.entry(LOOKUPS, zone="pilar", state="draining")
             system.store.put("servers", "i-0", entry)
             async with asyncio.timeout(APPLY):
-                while any(host.fleet.is_sound("i-0") for host in system.hosts):
+                while any(host.fleet.is_healthy("i-0") for host in system.hosts):
                     await asyncio.sleep(0.02)
             await come_back(system, copy)
             await asyncio.sleep(1.5)
-            assert not any(host.fleet.is_sound("i-0") for host in system.hosts)
+            assert not any(host.fleet.is_healthy("i-0") for host in system.hosts)
 
         run(test)
 
--- a/tests/test_version_evidence.py
+++ b/tests/test_version_evidence.py
@@ -7,17 +7,17 @@
 from hypothesis import strategies as st
 
 from passtally.messages import AnswerCounts, HostEvidence
-from passtally.version_evidence import EvidenceBoard, bucket_of
+from passtally.version_evidence import EvidenceTable, bucket_of
 from passtally.version_judge import VersionJudge
 
 ROUTES = ("r1", "r2")
 
 
-def board(host_id: str = "h0", life: int = 1) -> EvidenceBoard:
-    return EvidenceBoard(order_id="o", host_id=host_id, life=life)
+def board(host_id: str = "h0", life: int = 1) -> EvidenceTable:
+    return EvidenceTable(order_id="o", host_id=host_id, life=life)
 
 
-def count(target: EvidenceBoard, endpoint: str, answers: int, failures: int, **more):
+def count(target: EvidenceTable, endpoint: str, answers: int, failures: int, **more):
     for route in more.get("routes", ROUTES):
         for number in range(answers):
             target.count(
@@ -77,7 +77,7 @@
 class TestJudge:
     judge = VersionJudge()
 
-    def known(self, failures: int = 2) -> EvidenceBoard:
+    def known(self, failures: int = 2) -> EvidenceTable:
         known = board()
         count(known, "", 200, failures)
         return known
--- a/tests/test_watch_duty.py
+++ b/tests/test_watcher_election.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from passtally.watch_duty import (
+from passtally.watcher_election import (
     JOIN_WAIT,
     LATE_STEP,
     STAND_DOWN_AFTER,
@@ -15,7 +15,7 @@
     URGENT_HOSTS,
     URGENT_STEP,
     WATCHERS,
-    WatchDuty,
+    WatcherElection,
     should_watch,
     waiting_time,
 )
@@ -98,7 +98,8 @@
         self.now = timedelta(seconds=100)
         self.names = [f"h{n:02}" for n in range(count)]
         self.duties = {
-            name: WatchDuty(own_id=name, started_at=self.now) for name in self.names
+            name: WatcherElection(own_id=name, started_at=self.now)
+            for name in self.names
         }
         #: Hosts whose own watch is down: the platform turns them away.
         self.turned_away: set[str] = set()
@@ -107,7 +108,7 @@
 
     @property
     def watching(self) -> set[str]:
-        return {name for name, duty in self.duties.items() if duty.is_watching}
+        return {name for name, election in self.duties.items() if election.is_watching}
 
     @property
     def serving(self) -> set[str]:
@@ -122,8 +123,8 @@
                 for name, at in self._heard_at.items()
                 if self.now - at < HEARING_LAG
             }
-            for name, duty in self.duties.items():
-                duty.decide(set(self.names), heard - {name}, now=self.now)
+            for name, election in self.duties.items():
+                election.decide(set(self.names), heard - {name}, now=self.now)
             for name in self.serving:
                 self._heard_at[name] = self.now
             self.most = max(self.most, len(self.watching))
