--- a/passtally/crash_guard.py
+++ b/passtally/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keeps a request that ends the endpoints that run it from ending more of them."""
+"""Detection of requests that crash their endpoints, and their rejection."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,30 +12,30 @@
 from passtally.outcome import Code, Outcome, RefusedError, refuse
 from passtally.quarantine import Quarantine, Suspect
 
-#: An endpoint that ends later than this after it began to run a request counts as ended
-#: by something else. One that a request ends does so with the first steps of its run.
+#: Time since the start of a run after which a crash is attributed to something else. A
+#: request that crashes its endpoint does so in the first steps of its run.
 CRASH_WINDOW = timedelta(seconds=2)
-#: From so many ends on, further tries are kept together at one endpoint. After one, a
-#: request is most likely innocent, and better off where there is the most room.
+#: Number of crashes from which all attempts at a request go to one endpoint. After a
+#: single crash a request is most likely innocent, and is better placed at the endpoint
+#: with the most free capacity.
 SUSPECT_CRASHES = 2
 
 
 async def never_ended(live: LiveEndpoint) -> bool:
-    """Return that an endpoint is not known to have ended."""
+    """Return False: without a way to check, no endpoint counts as crashed."""
     return False
 
 
 class CrashGuard:
-    """Finds requests that end endpoints, and refuses them.
+    """Detects requests that crash endpoints, and refuses them.
 
     Args:
-        quarantine: What is known of such requests.
+        quarantine: The crash counts of requests.
         clock: The clock.
-        has_ended: Returns whether an endpoint is seen to have ended, and was not only
-            cut off or silent.
-        on_quarantined: Called with the fingerprint of each request that is refused from
-            then.
-        metrics: Where metrics go.
+        has_ended: Checks whether an endpoint has certainly exited, as opposed to being
+            unreachable or silent.
+        on_quarantined: Called with the fingerprint of each newly quarantined request.
+        metrics: Receives the count of quarantines.
     """
 
     def __init__(
@@ -52,71 +52,75 @@
         self._has_ended = has_ended
         self._on_quarantined = on_quarantined
         self._metrics = metrics or NoMetrics()
-        #: Set when other hosts are to be told something.
+        #: Set when there are updates for other hosts.
         self.changed = asyncio.Event()
-        self._asking_by_start: dict[EndpointStart, asyncio.Task[bool]] = {}
+        self._checks_by_start: dict[EndpointStart, asyncio.Task[bool]] = {}
 
     def remaining(self, fingerprint: bytes) -> timedelta | None:
-        """Return how long a request is refused, or None if it is not."""
+        """Return the time left in a request's quarantine; None if not quarantined."""
         return self.quarantine.remaining(fingerprint, now=self._clock.monotonic())
 
     def held(self) -> list[Suspect]:
-        """Return the requests that are refused."""
+        """Return the quarantined requests."""
         return self.quarantine.held(now=self._clock.monotonic())
 
     def is_suspect(self, fingerprint: bytes) -> bool:
-        """Return whether several endpoints ended under a request, and none bore it."""
+        """Return whether several crashes of endpoints count against a request.
+
+        Crashes that a success or an operator has cleared do not count.
+        """
         suspect = self.quarantine.find(fingerprint, now=self._clock.monotonic())
         return suspect is not None and len(suspect.open_crashes) >= SUSPECT_CRASHES
 
     def check(self, fingerprint: bytes, *, service: str) -> None:
-        """Refuse a request that ended too many endpoints.
+        """Raise if a request is quarantined.
 
         Raises:
-            RefusedError: It is refused for a while.
+            RefusedError: The request is quarantined.
         """
         remaining = self.remaining(fingerprint)
         if remaining is not None:
             raise quarantine_error(service, remaining)
 
     async def has_ended(self, live: LiveEndpoint) -> bool:
-        """Return whether an endpoint, where a connection broke, is seen to have ended.
+        """Return whether an endpoint whose connection broke has certainly exited.
 
-        All requests that were there ask at the same moment; it is looked at once.
+        All requests of the endpoint ask at the same moment and share one check.
         """
         start = live.endpoint.start
-        asking = self._asking_by_start.get(start)
-        if asking is None:
-            asking = asyncio.ensure_future(self._has_ended(live))
-            self._asking_by_start[start] = asking
-            asking.add_done_callback(lambda _: self._asking_by_start.pop(start))
-        return await asyncio.shield(asking)
+        running = self._checks_by_start.get(start)
+        if running is None:
+            running = asyncio.ensure_future(self._has_ended(live))
+            self._checks_by_start[start] = running
+            running.add_done_callback(lambda _: self._checks_by_start.pop(start))
+        return await asyncio.shield(running)
 
     def record_end(
         self, fingerprint: bytes, live: LiveEndpoint, *, began_at: timedelta | None
     ) -> None:
-        """Take in that an endpoint has ended under a request.
+        """Record the crash of an endpoint that a request was sent to.
 
-        Only one that had just begun to run it may have ended by it. One that had not
-        begun to answer may have ended by any other that was there.
+        The crash counts against the request only if its run had just started. If the
+        endpoint had not begun to answer, any other request there may be the cause, so
+        it counts only if there was no other.
 
         Args:
-            fingerprint: The request.
+            fingerprint: The fingerprint of the request.
             live: The endpoint.
-            began_at: When it began to run the request; None where it had not answered.
+            began_at: Time at which the run started; None if there was no answer yet.
         """
         now = self._clock.monotonic()
         if began_at is None:
-            is_suspected = live.has_served_one
+            is_suspected = live.had_at_most_one_request
         else:
             is_suspected = now - began_at <= CRASH_WINDOW
         if is_suspected:
             self.record_crash(fingerprint, live)
 
     def record_crash(self, fingerprint: bytes, live: LiveEndpoint) -> None:
-        """Count the end of an endpoint against a request."""
+        """Count the crash of an endpoint against a request."""
         now = self._clock.monotonic()
-        was_held = self.remaining(fingerprint) is not None
+        was_quarantined = self.remaining(fingerprint) is not None
         suspect = self.quarantine.record_crash(
             fingerprint, live.endpoint.start, now=now
         )
@@ -125,44 +129,45 @@
         self.changed.set()
         log_event(
             "quarantine",
-            "An endpoint ended under a request.",
+            "Endpoint crashed while running a request.",
             fingerprint=fingerprint.hex(),
             peer=live.endpoint.id,
             ended=suspect.open_crashes,
         )
-        if suspect.is_quarantined and not was_held:
+        if suspect.is_quarantined and not was_quarantined:
             self.record_quarantined(suspect)
 
     def record_quarantined(self, suspect: Suspect) -> None:
-        """Take in that a request is refused from now on."""
+        """Count, log and report a request that has just been quarantined."""
         self._metrics.count(Metric.QUARANTINES)
         log_event(
             "quarantine",
-            "Refused from now on.",
+            "Request quarantined.",
             fingerprint=suspect.fingerprint.hex(),
             ended=suspect.open_crashes,
         )
         self._on_quarantined(suspect.fingerprint)
 
     def record_success(self, fingerprint: bytes) -> None:
-        """Take in that an endpoint ran a request to a good end."""
+        """Record that a request succeeded, which clears it of all crashes so far."""
         if self.quarantine.record_success(fingerprint, now=self._clock.monotonic()):
             self.changed.set()
 
     def lift(self, fingerprint: bytes) -> bool:
-        """Take a request again, at all hosts; return whether it was a suspect."""
+        """Clear a request at all hosts, and return whether it had open crashes."""
         is_lifted = self.quarantine.lift(fingerprint)
         if is_lifted:
             self.changed.set()
-            log_event("quarantine", "Lifted.", fingerprint=fingerprint.hex())
+            log_event("quarantine", "Quarantine lifted.", fingerprint=fingerprint.hex())
         return is_lifted
 
 
 def quarantine_error(service: str, remaining: timedelta) -> RefusedError:
-    """Return the refusal of a request that ended too many endpoints.
+    """Return the error for a quarantined request.
 
-    Its status is one that says when to come back: to a caller that tries again it is
-    as final as any other, and it tells truly that nothing has run.
+    Status 503 can state in Retry-After when the quarantine ends, and correctly tells
+    the caller that nothing has run. To a caller that retries it is as final as any
+    other status.
     """
     return refuse(
         Code.REQUEST_QUARANTINED,
--- a/passtally/failing_endpoints.py
+++ b/passtally/failing_endpoints.py
@@ -1,8 +1,8 @@
-"""Tells an endpoint that fails calls from a service, or a host, in trouble. Pure.
+"""Detection of endpoints that fail more calls than the rest of their service. Pure.
 
-An endpoint is held against its neighbours: the others of its service, in the same
-seconds. What hits all of them, a cut, a flood of calls, a bad release, or a caller
-whose calls fail everywhere, is no fault of one.
+An endpoint is compared with its neighbours, the other endpoints of its service, over
+the same seconds. A fault that affects all of them, such as a network cut, an overload,
+a bad release, or a caller whose calls fail everywhere, is not attributed to one.
 """
 
 from collections import deque
@@ -13,18 +13,20 @@
 
 from passtally.sequential_test import Finding, MixtureTest
 
-#: The chance that an endpoint that fails no more often than its neighbours is found
-#: failing, by one host in one span. An error costs it the calls of a second.
+#: Probability that one host, within one ``SPAN``, finds an endpoint failing that fails
+#: no more often than its neighbours. A false positive costs it the calls of one second.
 ERROR = 0.005
-#: A rate of failures below this is not told from it: one failure in some dozen answers
-#: is chance. With it two failures in a row are enough, and one never is.
+#: Minimum failure rate that is assumed for the neighbours, as one failure in a dozen
+#: answers is chance. At this rate two failures in a row suffice, and one never does.
 MIN_RATE = 0.02
-#: The test weighs no rate below the usual one; what it then tolerates is not asked.
+#: Tolerated rate of the sequential test. It has no effect here, since only the finding
+#: that a rate is above the baseline is used.
 TOLERATED_RATE = 0.5
-#: How far back answers are held against each other. Where 90 hosts share the calls, a
-#: host still sends an endpoint three in this time.
+#: Period over which answers are compared. Even if 90 hosts share the calls, a host
+#: sends an endpoint three of them in this time.
 SPAN = timedelta(seconds=10)
-#: The most answers of a service that a host remembers: 20 a second, or the newest.
+#: Limit of answers remembered for each service, enough for 20 a second over ``SPAN``;
+#: the oldest are dropped beyond it.
 MAX_ANSWERS = 200
 
 
@@ -36,47 +38,50 @@
 
 
 class CallRecord:
-    """How the calls of one service ended at its endpoints, as one host saw them."""
+    """The results of one host's recent calls to the endpoints of one service."""
 
     def __init__(self) -> None:
         self._answers: deque[_Answer] = deque(maxlen=MAX_ANSWERS)
 
-    def note(self, endpoint_id: str, *, is_failure: bool, now: timedelta) -> None:
-        """Take in how a call ended.
+    def add(self, endpoint_id: str, *, is_failure: bool, now: timedelta) -> None:
+        """Add the result of a call.
 
         Args:
-            endpoint_id: Where it was sent.
-            is_failure: Whether it was lost there, or answered with a failure.
+            endpoint_id: The endpoint that the call was sent to.
+            is_failure: Whether the call was lost there, or answered with a failure.
             now: The monotonic time.
         """
         answer = _Answer(at=now, endpoint_id=endpoint_id, is_failure=is_failure)
         self._answers.append(answer)
 
     def is_failing(
-        self, endpoint_id: str, *, left_out: Collection[str], now: timedelta
+        self, endpoint_id: str, *, excluded: Collection[str], now: timedelta
     ) -> bool:
         """Return whether an endpoint fails more calls than its neighbours.
 
-        All are counted since its first failure. Where no neighbour has answered well
-        since, nothing tells that the endpoint is at fault, and not this host.
+        Calls are counted since the endpoint's first failure. If no neighbour has
+        succeeded since then, the fault may as well be with this host.
 
         Args:
             endpoint_id: The endpoint.
-            left_out: Other endpoints that are known to fail.
+            excluded: Other endpoints that are known to fail, and are not compared with.
             now: The monotonic time.
         """
-        own, others = self._count_since_failure(endpoint_id, left_out, now)
+        own, others = self._count_since_failure(endpoint_id, excluded, now)
         if len(others) == sum(others):
             return False
-        # Without a failure among few answers, the least rate stands for the usual one.
+        # A few answers without a failure do not show a failure rate below MIN_RATE.
         baseline = max(MIN_RATE, sum(others) / len(others))
         test = MixtureTest(baseline=baseline, tolerated=TOLERATED_RATE, error=ERROR)
         return test.judge(len(own), sum(own)) is Finding.HIGH
 
     def _count_since_failure(
-        self, endpoint_id: str, left_out: Collection[str], now: timedelta
+        self, endpoint_id: str, excluded: Collection[str], now: timedelta
     ) -> tuple[list[bool], list[bool]]:
-        """Return which calls failed at an endpoint and at the others."""
+        """Return the results of calls to an endpoint and to its neighbours.
+
+        Both lists start at the endpoint's first failure; True marks a failure.
+        """
         own: list[bool] = []
         others: list[bool] = []
         for answer in self._answers:
@@ -85,6 +90,6 @@
             if answer.endpoint_id == endpoint_id:
                 if own or answer.is_failure:
                     own.append(answer.is_failure)
-            elif own and answer.endpoint_id not in left_out:
+            elif own and answer.endpoint_id not in excluded:
                 others.append(answer.is_failure)
         return own, others
--- a/passtally/fleet.py
+++ b/passtally/fleet.py
@@ -1,4 +1,4 @@
-"""The live endpoints of all services, and what is learned of them together."""
+"""The live endpoints of all services, and the state that they share."""
 
 import asyncio
 from collections.abc import Callable
@@ -35,26 +35,31 @@
 )
 from passtally.versions import AnyVersion, Versions
 
-#: One endpoint is asked for its load this often, whatever their number.
+#: Interval between load probes; each goes to one endpoint, however many there are.
 REFRESH_INTERVAL = timedelta(seconds=1)
-#: The most endpoints of a service that are connected to at once to see whether one is
-#: in reach; endpoints of one failure domain mostly come and go together.
+#: Limit of endpoints of a service that are connected to at once to check whether any is
+#: reachable. Endpoints of one failure domain mostly fail and recover together.
 MAX_REACH_CHECKS = 6
-#: For how long after a loss its failure domain is avoided. Endpoints of one domain
-#: are often lost together, and noticed one after the other.
+#: Time after a loss in which its failure domain is avoided. Endpoints of one domain are
+#: often lost together, and detected one after the other.
 UNSTABLE_TIME = timedelta(seconds=1.5)
 
 
 @attrs.frozen(kw_only=True)
 class Capacity:
-    """Places for requests, and how many are believed taken."""
+    """The concurrent requests that endpoints accept, and the estimated number in use.
+
+    Attributes:
+        places: Total of the endpoints' limits of concurrent requests.
+        taken: Estimated number of places in use.
+    """
 
     places: int
     taken: int
 
     @property
     def load(self) -> float:
-        """The share that is taken; 0 where there are none, so that routing tells."""
+        """The share of places in use; 0 without places, so that routing reports it."""
         return self.taken / self.places if self.places else 0.0
 
 
@@ -65,16 +70,16 @@
         catalog: The configuration in force.
         clock: The clock.
         connect: Makes the engine client of an endpoint.
-        departures: Which endpoints are leaving.
-        bounds_by_phase: Where silence limits may move.
-        capacity_of: Returns the tokens that an endpoint's memory holds, by its
-            service; 0 where that is not known.
-        others_load: Returns what other hosts' runs take at one start of an endpoint.
-        on_successor: Called with an endpoint that has ended and the id of the one
+        departures: The endpoints that are leaving.
+        bounds_by_phase: The ranges of silence limits.
+        capacity_of: Returns the KV memory of an endpoint in tokens, by its service; 0
+            if unknown.
+        others_load: Returns the load of other hosts' runs at one start of an endpoint.
+        on_successor: Called with an endpoint that has exited and the id of the one
             that has its address now.
         on_silent: See :class:`passtally.live_endpoint.LiveEndpoint`.
-        versions: Which versions get requests.
-        limits: The limits that endpoints name; None for ones of its own.
+        versions: The versions that get requests.
+        limits: The request limits that endpoints set; None to start without any.
     """
 
     def __init__(
@@ -109,23 +114,26 @@
         self._lag = LagMeter(clock=clock)
         self._others_load = others_load
         self._on_successor = on_successor
-        #: Set when what this host's runs take at endpoints has changed.
+        #: Set when the load of this host's runs at endpoints has changed.
         self.load_changed = asyncio.Event()
         self._losses: set[EndpointStart] = set()
-        #: Endpoints under addresses that they left, while streams are open there.
-        self._former: list[LiveEndpoint] = []
+        #: Endpoints at their former addresses, kept while streams are open there.
+        self._retired: list[LiveEndpoint] = []
         self._lost_at_by_domain: dict[str, timedelta] = {}
         self._calls_by_service: dict[str, CallRecord] = {}
 
     def find(self, endpoint_id: str) -> LiveEndpoint | None:
-        """Return a configured endpoint's live state, or None."""
+        """Return an endpoint's live state, or None if it is unknown.
+
+        The state is created for a configured endpoint that has none for its address.
+        """
         endpoint = self._catalog.endpoints_by_id.get(endpoint_id)
         if endpoint is None:
             return self._live_by_id.get(endpoint_id)
         live = self._live_by_id.get(endpoint_id)
         if live is None or live.endpoint.url != endpoint.url:
             if live is not None:
-                self._leave_address(live)
+                self._retire_address(live)
             live = LiveEndpoint(
                 endpoint=endpoint,
                 engine=self._connect(endpoint),
@@ -142,7 +150,7 @@
         return live
 
     def is_usable(self, endpoint_id: str) -> bool:
-        """Return whether an endpoint may get requests that try no new version."""
+        """Return whether an endpoint may get requests that are not canary traffic."""
         endpoint = self._catalog.endpoints_by_id.get(endpoint_id)
         if endpoint is None or not self.versions.allows(endpoint):
             return False
@@ -156,13 +164,14 @@
         return live.state is EndpointState.ACTIVE and not live.is_ejected
 
     async def has_reachable(self, service_id: str, failure_domain: str) -> bool:
-        """Look whether a service has an endpoint that takes connections.
+        """Check whether a service has an endpoint that accepts connections.
 
-        Asks some endpoints of a failure domain first, then some others.
+        Connects to some endpoints of one failure domain first, then to some others. A
+        service without active endpoints counts as reachable.
 
         Args:
             service_id: The service.
-            failure_domain: Where an endpoint is most likely in reach.
+            failure_domain: The domain whose endpoints are most likely reachable.
         """
         in_use = [
             endpoint
@@ -180,7 +189,7 @@
     def record_directives(
         self, start: EndpointStart, words: EndpointDirectives, *, sent_at: timedelta
     ) -> None:
-        """Take in what an answer says; see :class:`DirectiveRecorder`."""
+        """Apply the directives of an answer; see :class:`DirectiveRecorder`."""
         now = self._clock.monotonic()
         self._invalid_directives.note(start.endpoint_id, words)
         if words.is_leaving:
@@ -194,20 +203,24 @@
             self.load_changed.set()
 
     def try_send(self, live: LiveEndpoint) -> bool:
-        """Count a request that is sent to an endpoint, if the endpoint wants it now."""
+        """Reserve a request at an endpoint, and return whether it accepts one now.
+
+        Both its back-off and its request limit must allow the request.
+        """
         start, now = live.endpoint.start, self._clock.monotonic()
         if not self._backoffs.may_send(start, now=now):
             return False
         return self.limits.take(start, now=now) and self._backoffs.take(start, now=now)
 
     def may_query(self, start: EndpointStart) -> bool:
-        """Return whether an endpoint wants to be asked anything by this host."""
+        """Return whether an endpoint's back-off allows any message from this host."""
         return self._backoffs.is_over(start, now=self._clock.monotonic())
 
     def time_until_capacity(self, service_id: str) -> timedelta:
-        """Return how long it takes until an endpoint wants a request.
+        """Return the time until an active endpoint of a service accepts a request.
 
-        Zero where one has asked for no rest and names no limit, or has room.
+        Zero if one is neither in back-off nor at its request limit, or if there is no
+        active endpoint.
         """
         now = self._clock.monotonic()
         waits = [
@@ -221,13 +234,13 @@
         return min(waits, default=timedelta(0))
 
     def may_accept_within(self, service_id: str, patience: timedelta) -> bool:
-        """Return whether an endpoint that is known may take a request by then.
+        """Return whether a known endpoint may accept a request in time.
 
-        True where none is known: one may come at any time.
+        True if no endpoint is known, since one may register at any time.
 
         Args:
             service_id: The service.
-            patience: How long the request may wait.
+            patience: The time that the request may wait.
         """
         known = self._catalog.endpoints_of(service_id)
         staying = [
@@ -240,11 +253,12 @@
         return self.time_until_capacity(service_id) <= patience
 
     def record_loss(self, live: LiveEndpoint, *, is_endpoint_unreachable: bool) -> None:
-        """Take in that a run was lost: its whole failure domain may be going.
+        """Record the loss of a run, since its whole failure domain may be failing.
 
         Args:
-            live: Where it was lost.
-            is_endpoint_unreachable: Whether the endpoint itself is out of reach.
+            live: The endpoint of the run.
+            is_endpoint_unreachable: Whether the endpoint itself is unreachable, which
+                other hosts are then notified of.
         """
         domain = live.endpoint.failure_domain
         self._lost_at_by_domain[domain] = self._clock.monotonic()
@@ -253,60 +267,60 @@
             self.load_changed.set()
 
     def is_serving(self, live: LiveEndpoint) -> bool:
-        """Return whether an endpoint is there to serve, as far as is told.
+        """Return whether an endpoint is registered and active.
 
-        One that is about to leave, or has no entry any more, may end as planned.
+        One that is leaving or no longer registered may exit as planned.
         """
         is_known = live.endpoint.id in self._catalog.endpoints_by_id
         return is_known and live.state is EndpointState.ACTIVE
 
     def record_end(self, live: LiveEndpoint) -> None:
-        """Take in that an endpoint is seen to have ended, and tell other hosts."""
+        """Eject an endpoint that has certainly exited, and notify other hosts."""
         live.eject(self._clock.monotonic())
         self.record_loss(live, is_endpoint_unreachable=True)
 
     def end_streams(self, fingerprint: bytes) -> None:
-        """End this host's attempts at one request that have not begun to answer."""
-        for live in [*self._live_by_id.values(), *self._former]:
+        """Fail this host's attempts at one request that have no output yet."""
+        for live in [*self._live_by_id.values(), *self._retired]:
             for guard in list(live.guards):
                 if guard.fingerprint == fingerprint and not guard.reads:
                     guard.lose()
 
     def record_call(self, live: LiveEndpoint, *, is_fault: bool) -> None:
-        """Take in how a plain call ended; an endpoint that fails many is left alone.
+        """Record the result of a plain call, and eject an endpoint that fails many.
 
         Args:
-            live: Where it was sent.
+            live: The endpoint that the call was sent to.
             is_fault: Whether it was lost, or answered with a failure of the endpoint.
         """
         now = self._clock.monotonic()
         endpoint = live.endpoint
         record = self._calls_by_service.setdefault(endpoint.service, CallRecord())
-        record.note(endpoint.id, is_failure=is_fault, now=now)
+        record.add(endpoint.id, is_failure=is_fault, now=now)
         if not is_fault:
             live.reset_ejection()
             return
         live.deprioritize(now)
         others = self.list_failing(endpoint.service) - {endpoint.id}
-        if self._may_leave_alone(endpoint.service, len(others) + 1) and (
-            record.is_failing(endpoint.id, left_out=others, now=now)
+        if self._may_eject(endpoint.service, len(others) + 1) and (
+            record.is_failing(endpoint.id, excluded=others, now=now)
         ):
             live.eject_failing(now)
-            log_event("endpoints", "It fails calls.", peer=endpoint.id)
+            log_event("endpoints", "Endpoint ejected: fails calls.", peer=endpoint.id)
 
     def list_failing(self, service_id: str) -> frozenset[str]:
-        """Return the endpoints of a service that are out of use for failed calls."""
+        """Return the endpoints of a service that were ejected for failed calls."""
         return frozenset(
             endpoint.id
             for endpoint in self._catalog.endpoints_of(service_id)
             if self.find(endpoint.id).is_failing
         )
 
-    def _may_leave_alone(self, service_id: str, count: int) -> bool:
-        """Return whether so many endpoints of a service may be put out of use.
+    def _may_eject(self, service_id: str, count: int) -> bool:
+        """Return whether a number of endpoints of a service may be ejected at once.
 
-        Half of those in use: the others can take their calls, and what fails at more
-        of them is no fault of one.
+        At most half of those in use: the others can take over their calls, and calls
+        that fail at more than half are not the fault of single endpoints.
         """
         in_use = sum(
             endpoint.state is EndpointState.ACTIVE and self.versions.allows(endpoint)
@@ -315,30 +329,30 @@
         return 2 * count <= in_use
 
     def record_start(self, endpoint: Endpoint) -> None:
-        """Take in an endpoint's entry: it may have started again under its id.
+        """Record an endpoint's entry, which may show a restart under the same id.
 
-        Nothing that was learned of the start before holds for the new one. What is
-        under way there is not ended: the endpoint may have been reached since it
-        started, before its entry told of that. Its connections and their silence tell.
+        The state of the previous start is reset. Open streams are not failed, since
+        they may have reached the new start before its entry arrived. A broken or silent
+        connection shows which of them are lost.
         """
         live = self._live_by_id.get(endpoint.id)
         if live is None or not live.endpoint.start.is_followed_by(endpoint.start):
             return
         live.start_again(self._bounds_by_phase)
         log_event(
-            "endpoints", "Started again.", peer=endpoint.id, open=live.own_streams
+            "endpoints", "Endpoint restarted.", peer=endpoint.id, open=live.own_streams
         )
 
     def start_of(self, endpoint_id: str) -> EndpointStart:
-        """Return which start of an endpoint is known."""
+        """Return the last known start of an endpoint."""
         endpoint = self._catalog.endpoints_by_id.get(endpoint_id)
         return endpoint.start if endpoint else EndpointStart(endpoint_id=endpoint_id)
 
     def record_peer_loss(self, start: EndpointStart) -> None:
-        """Take in that a peer found an endpoint gone.
+        """Eject an endpoint that a peer reports as unreachable.
 
-        Where this host's own runs go on there, it knows better. One that has started
-        again since is not the one that was lost.
+        Not while this host has open requests there, which are better evidence than the
+        report, and not if the endpoint has restarted since.
         """
         endpoint_id = start.endpoint_id
         endpoint = self._catalog.endpoints_by_id.get(endpoint_id)
@@ -349,21 +363,28 @@
         self._lost_at_by_domain[live.endpoint.failure_domain] = now
         if not live.own_streams and not live.is_ejected:
             live.eject(now)
-            log_event("endpoints", "A peer found it gone.", peer=endpoint_id)
+            log_event(
+                "endpoints", "Peer reports endpoint unreachable.", peer=endpoint_id
+            )
 
     def record_replaced(self, live: LiveEndpoint, successor_id: str) -> None:
-        """Take in that an endpoint has ended, and which one has its address."""
+        """Record that an endpoint has exited, and which one has its address now.
+
+        Args:
+            live: The endpoint that has exited.
+            successor_id: The id of the endpoint at its address; empty if unknown.
+        """
         live.record_ended()
         if successor_id and successor_id not in self._catalog.endpoints_by_id:
             self._on_successor(live.endpoint, successor_id)
 
     def pop_losses(self) -> list[EndpointStart]:
-        """Return the starts of endpoints found gone since the last call."""
+        """Return the starts of endpoints found unreachable since the last call."""
         losses, self._losses = self._losses, set()
         return sorted(losses, key=lambda start: start.endpoint_id)
 
     def loads_by_endpoint(self) -> dict[str, TokenLoad]:
-        """Return what this host's runs take at endpoints, where they take any."""
+        """Return the load of this host's runs at each endpoint that has any."""
         return {
             endpoint_id: TokenLoad(
                 held=live.kv_tokens,
@@ -382,33 +403,33 @@
         return self._clock.monotonic() - lost_at < UNSTABLE_TIME
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop the state of an endpoint that is gone, once it has no streams."""
+        """Drop the state of a removed endpoint, unless it has open streams."""
         self._backoffs.forget(endpoint_id)
         live = self._live_by_id.get(endpoint_id)
         if live is not None and not live.own_streams:
             del self._live_by_id[endpoint_id]
 
     def views(self, service_id: str, *, is_trial: bool = False) -> list[EndpointView]:
-        """Return what decisions read of one service's endpoints.
+        """Return the routing views of one service's endpoints.
 
         Args:
             service_id: The service.
-            is_trial: Whether for a request that tries a new version; else those are
-                left out whose version is not to get requests.
+            is_trial: Whether to return the endpoints that canary traffic goes to;
+                otherwise those whose version gets requests.
         """
         service = self._catalog.services_by_id.get(service_id)
         if service is None:
             return []
-        is_open = self.versions.is_tried if is_trial else self.versions.allows
+        is_eligible = self.versions.is_tried if is_trial else self.versions.allows
         placed = (
             endpoint
             for endpoint in self._catalog.endpoints_of(service_id)
-            if is_placed(endpoint, service) and is_open(endpoint)
+            if is_placed(endpoint, service) and is_eligible(endpoint)
         )
         return [self.view(endpoint.id) for endpoint in placed]
 
     def view(self, endpoint_id: str) -> EndpointView:
-        """Return what decisions read of an endpoint that :meth:`find` finds."""
+        """Return the routing view of an endpoint that :meth:`find` knows."""
         live = self.find(endpoint_id)
         start, now = live.endpoint.start, self._clock.monotonic()
         return live.view(
@@ -418,7 +439,7 @@
         )
 
     def service_capacity(self, service_id: str) -> "Capacity":
-        """Return the places of a service's endpoints in use, and how many are taken."""
+        """Return the total and taken places of a service's available endpoints."""
         views = [
             view
             for view in self.views(service_id)
@@ -430,27 +451,32 @@
         )
 
     def count_streams(self, endpoint_id: str) -> int:
-        """Return the open requests of an endpoint, as far as this host knows."""
+        """Return the number of open requests of an endpoint known to this host."""
         live = self.find(endpoint_id)
         if live is None:
             return 0
         view = live.view()
         return max(view.own_streams, view.reported_streams)
 
-    def _leave_address(self, live: LiveEndpoint) -> None:
-        """Go on watching the streams of an endpoint that has another address now.
+    def _retire_address(self, live: LiveEndpoint) -> None:
+        """Fail the streams at an endpoint's former address, and watch them to the end.
 
-        It started anew there, and holds nothing of them.
+        The endpoint has restarted at another address without them.
         """
         if live.guards:
-            self._former.append(live)
+            self._retired.append(live)
         live.lose_streams()
 
     def count_open(
         self, service_id: str, is_counted: Callable[[Endpoint], bool]
     ) -> int:
-        """Return this host's open requests at some endpoints of a service."""
-        lives = [*self._live_by_id.values(), *self._former]
+        """Return the number of this host's open requests at endpoints of a service.
+
+        Args:
+            service_id: The service.
+            is_counted: Selects the endpoints.
+        """
+        lives = [*self._live_by_id.values(), *self._retired]
         return sum(
             live.own_streams
             for live in lives
@@ -458,13 +484,13 @@
         )
 
     async def refresh_reports(self) -> None:
-        """Ask one endpoint at a time for its load, the one heard of longest ago."""
+        """Probe the endpoint with the oldest load report, one at a time, forever."""
         while True:
             await self._clock.sleep(REFRESH_INTERVAL)
-            busy = [live for live in self._live_by_id.values() if live.has_engine]
-            if not busy:
+            reporting = [live for live in self._live_by_id.values() if live.has_engine]
+            if not reporting:
                 continue
-            oldest = min(busy, key=lambda live: live.reported_at)
+            oldest = min(reporting, key=lambda live: live.reported_at)
             report = await oldest.engine.probe()
             if report is not None:
                 oldest.update_report(report)
@@ -472,17 +498,20 @@
                 oldest.reported_at = self._clock.monotonic()
 
     async def watch_silence(self) -> None:
-        """Look for silent streams, for ever."""
+        """Check for silent streams, forever.
+
+        While this host itself lags, silence is reset, as output may wait unread.
+        """
         while True:
-            self._former = [live for live in self._former if live.guards]
+            self._retired = [live for live in self._retired if live.guards]
             lives = self._live_by_id.values()
-            has_streams = self._former or any(live.guards for live in lives)
+            has_streams = self._retired or any(live.guards for live in lives)
             interval = WATCH_INTERVAL if has_streams else IDLE_WATCH_INTERVAL
             due = self._clock.monotonic() + interval
             await self._clock.sleep(interval)
             now = self._clock.monotonic()
             self._lag.tick(now - due)
-            for live in [*self._live_by_id.values(), *self._former]:
+            for live in [*self._live_by_id.values(), *self._retired]:
                 if self._lag.is_lagging:
                     live.reset_silence(now)
                 else:
--- a/passtally/live_endpoint.py
+++ b/passtally/live_endpoint.py
@@ -1,4 +1,4 @@
-"""What this host knows of one endpoint while it runs: load, silence, ejection."""
+"""This host's state of one endpoint: its load, silence and ejection."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,56 +22,63 @@
     Verdict,
 )
 
-#: How often a look for silent streams is taken.
+#: Interval between checks for silent streams.
 WATCH_INTERVAL = timedelta(milliseconds=50)
-#: The same while no stream is open: 4 wake-ups a second and not 20. The first output of
-#: a stream that begins meanwhile may be missing for 0.8 s at least before it matters.
+#: Interval between these checks while no stream is open: 4 wake-ups a second instead of
+#: 20. A stream that starts meanwhile is not probed before 0.8 s of silence anyway.
 IDLE_WATCH_INTERVAL = timedelta(milliseconds=250)
-#: Load reports are not older than this.
+#: Maximum age of the state that a load report shows when it arrives.
 MAX_REPORT_LAG = timedelta(seconds=2)
-#: A timer of this host that is later than this shows that it can't judge others.
+#: Maximum delay of a local timer. A longer delay shows that this host itself stalls and
+#: cannot judge the silence of others.
 MAX_OWN_LAG = timedelta(milliseconds=100)
-#: Left of the longest pause that a caller allows for going on elsewhere: a look each
-#: 50 ms, a connection within 80 ms, and up to 60 ms until the replica's first output.
-GOING_ON = timedelta(milliseconds=200)
-#: How long a stream that waits on at a silent endpoint is not judged again. Each time
-#: costs a connection to the endpoint and up to four messages to other hosts: a stream
-#: that is silent for 10 s costs that 15 times, and 39 times without this pause.
-HELD_PAUSE = timedelta(milliseconds=600)
-#: For how long an endpoint that failed a call is passed over where another can take the
-#: next one: so a host that used it alone learns how its neighbours do.
+#: Part of a caller's maximum pause between outputs that is reserved for failing over to
+#: another endpoint: a check every 50 ms, a connection within 80 ms, and up to 60 ms
+#: until the replica's first output.
+FAILOVER_RESERVE = timedelta(milliseconds=200)
+#: Delay until the next check of a stream that keeps waiting at a silent endpoint. Each
+#: check costs a connection to the endpoint and up to four messages to other hosts. A
+#: silence of 10 s takes 15 checks, and would take 39 without this delay.
+HOLD_CHECK_DELAY = timedelta(milliseconds=600)
+#: Time in which other endpoints are preferred to one that failed a call. A host that
+#: used only that endpoint then gets results of its neighbours to compare it with.
 DEPRIORITIZED_TIME = timedelta(seconds=1.5)
+#: Duration of the first ejection. It doubles with each further one up to
+#: :data:`MAX_EJECTION`, until the endpoint answers.
 INITIAL_EJECTION = timedelta(seconds=1)
 MAX_EJECTION = timedelta(seconds=30)
 
 
 @attrs.define(kw_only=True, eq=False)
 class StreamGuard:
-    """Watches one attempt for silence.
+    """Detects the silence of one attempt.
 
-    The attempt only counts its reads; the watch looks at the count now and then,
-    so that a token costs no reading of the clock.
+    The attempt only counts its reads, and a periodic check compares the count. This
+    avoids a clock reading for each token.
 
     Attributes:
-        quiet_since: Since when no read was seen.
-        first_limit: Returns when it is given up before its first output though its
-            endpoint lives, by the most tokens that waited there to be read; None for
-            the endpoint's own limit.
-        max_prefill_tokens: The most tokens of prompts, all hosts' as far as they are
-            known, that its endpoint had still to read since it was sent there.
-        max_gap: The longest pause between two outputs that its caller allows, if it
-            is known.
-        reads: How many reads brought output.
-        is_waiting: Whether it waits for output; not while the caller is written to.
-        seen_reads: The reads that the watch has seen.
-        spared_since: Since when it is silent though its endpoint was found alive.
-        trip: Called when the attempt is to end.
-        tripped: How the attempt was lost, once it was.
-        is_lost: Whether its endpoint holds it no more, so that nothing waits for it.
-        is_held: Whether it waits on at an endpoint that was found silent, since it may
-            go on nowhere else.
-        judged_from: From when on its silence is judged.
-        fingerprint: The request, see :mod:`passtally.fingerprint`.
+        quiet_since: Start of the current silence; restarted by output, by a probe that
+            finds the endpoint alive, and by :meth:`hold`.
+        first_limit: Returns the silence before the first output after which the attempt
+            is given up even if its endpoint is alive, by ``max_prefill_tokens``; None
+            for the endpoint's own limit.
+        max_prefill_tokens: Maximum number of prompt tokens waiting for prefill at the
+            endpoint since the attempt was sent, of all hosts as far as known.
+        max_gap: Maximum pause between two outputs that the caller allows, if known.
+        reads: Number of reads that returned output.
+        is_waiting: Whether the attempt waits for output; False while output is written
+            to the caller.
+        seen_reads: Number of reads at the last check.
+        silence_began_at: Start of the whole silence, once ``quiet_since`` was restarted
+            without any output; otherwise None.
+        trip: Called when the attempt is to be ended.
+        tripped: The kind of loss, once the attempt was found lost.
+        is_lost: Whether the endpoint no longer runs the attempt, so that waiting for it
+            is useless.
+        is_held: Whether the attempt keeps waiting at a silent endpoint because it
+            cannot fail over.
+        next_check_at: Time before which the silence is not judged.
+        fingerprint: The fingerprint of the request, see :mod:`passtally.fingerprint`.
     """
 
     quiet_since: timedelta
@@ -81,62 +88,62 @@
     reads: int = 0
     is_waiting: bool = True
     seen_reads: int = 0
-    spared_since: timedelta | None = None
+    silence_began_at: timedelta | None = None
     trip: Callable[[], None] = lambda: None
     tripped: LossKind | None = None
     is_lost: bool = False
     is_held: bool = False
-    judged_from: timedelta = timedelta(0)
+    next_check_at: timedelta = timedelta(0)
     fingerprint: bytes = b""
 
-    def stuck_after(self, usual: timedelta | None) -> timedelta | None:
-        """Return how long it may be silent though its endpoint lives.
+    def stuck_after(self, endpoint_limit: timedelta | None) -> timedelta | None:
+        """Return the maximum silence of the attempt while its endpoint is alive.
 
         Args:
-            usual: The endpoint's own limit for its phase.
+            endpoint_limit: The endpoint's own limit for the phase; None for no limit.
         """
         if self.phase is Phase.FIRST_TOKEN:
-            return self.first_limit(self.max_prefill_tokens) or usual
-        if self.max_gap is None or usual is None:
-            return usual
-        return max(usual, self.max_gap - GOING_ON)
+            return self.first_limit(self.max_prefill_tokens) or endpoint_limit
+        if self.max_gap is None or endpoint_limit is None:
+            return endpoint_limit
+        return max(endpoint_limit, self.max_gap - FAILOVER_RESERVE)
 
     @property
     def phase(self) -> Phase:
-        """What the stream waits for."""
+        """The output that the stream waits for."""
         return Phase.NEXT_TOKEN if self.seen_reads else Phase.FIRST_TOKEN
 
     @property
     def silent_since(self) -> timedelta:
-        """Since when there is no output, as far as the watch has seen."""
-        return self.spared_since or self.quiet_since
+        """Start of the whole silence, as of the last check."""
+        return self.silence_began_at or self.quiet_since
 
     def end(self, kind: LossKind) -> None:
-        """End the attempt as lost, unless its answer may go on nowhere else."""
+        """Trip the guard, which ends the attempt unless it cannot fail over."""
         if self.tripped is None:
             self.tripped = kind
             self.trip()
 
     def lose(self) -> None:
-        """End the attempt also where its answer may go on nowhere else."""
+        """End the attempt as lost, even if it cannot fail over."""
         self.is_lost = True
         self.end(LossKind.RESET)
 
     def hold(self, now: timedelta) -> None:
-        """Let the attempt go on; its silence is judged again a little later.
+        """Keep the attempt at its endpoint, and judge its silence again later.
 
         Args:
             now: The monotonic time.
         """
         self.tripped = None
         self.is_held = True
-        self.spared_since = self.spared_since or self.quiet_since
+        self.silence_began_at = self.silence_began_at or self.quiet_since
         self.quiet_since = now
-        self.judged_from = now + HELD_PAUSE
+        self.next_check_at = now + HOLD_CHECK_DELAY
 
 
 class LagMeter:
-    """Tells whether this host itself was too busy, or paused, to judge others.
+    """Detects that this host was too busy or paused to judge the silence of others.
 
     Args:
         clock: The clock.
@@ -147,33 +154,33 @@
         self._lagged_until = timedelta(0)
 
     def tick(self, late_by: timedelta) -> None:
-        """Take in how late a timer of this host fired."""
+        """Record the delay of a local timer, and log the first of a series of lags."""
         if late_by <= MAX_OWN_LAG:
             return
         if not self.is_lagging:
             late_ms = round(late_by.total_seconds() * 1000)
-            log_event("host", "Did not run in time.", late_ms=late_ms)
+            log_event("host", "Event loop stalled.", late_ms=late_ms)
         self._lagged_until = self._clock.monotonic() + late_by
 
     @property
     def is_lagging(self) -> bool:
-        """Whether a timer was late a moment ago."""
+        """Whether a timer fired late, for as long afterwards as it was late."""
         return self._clock.monotonic() < self._lagged_until
 
 
 class LiveEndpoint:
-    """The changing state of one endpoint.
+    """The runtime state of one endpoint.
 
     Args:
-        endpoint: Its configuration.
-        engine: How it is reached.
+        endpoint: The configuration of the endpoint.
+        engine: The client of the endpoint.
         clock: The clock.
-        lag: Tells whether this host can judge.
-        departures: Where its own reports of leaving are noted.
-        bounds_by_phase: Where its silence limits may move.
-        others_load: Returns what other hosts' runs take at one start of it.
-        on_silent: Called with the moment since which a connection to it is silent
-            though it takes new ones.
+        lag: Reports whether this host itself lags.
+        departures: Records that the endpoint is leaving.
+        bounds_by_phase: The ranges of its silence limits.
+        others_load: Returns the load of other hosts' runs at one start of an endpoint.
+        on_silent: Called with the start of the silence of a connection when the
+            endpoint accepts new connections all the same.
     """
 
     def __init__(
@@ -197,33 +204,34 @@
         self._departures = departures
         self.own_streams = 0
         self.resume_tokens = 0
-        #: Tokens that its memory holds for this host's runs and replicas.
+        #: Tokens in KV memory for this host's runs and replicas.
         self.kv_tokens = 0
-        #: Tokens of this host's prompts that it is still to read.
+        #: Tokens of this host's prompts that wait for prefill.
         self.prefill_tokens = 0
         self.capacity_tokens = 0
-        #: Calls in a row that were not answered in time.
+        #: Consecutive calls that were not answered in time.
         self.unanswered_calls = 0
         self.guards: set[StreamGuard] = set()
         self.ejected_until: timedelta | None = None
-        #: Whether a request is under way that shows whether it is back.
+        #: Whether a probing request is under way at an ejected or failing endpoint.
         self._is_half_open = False
-        #: Whether it was put out of use for its failures and has not answered since.
+        #: Whether it was ejected for failed calls and has not answered well since.
         self.is_failing = False
         self._own_at_report = 0
+        #: Recent peak of ``own_streams``, which a late load report may still show.
         self._peak = 0
         self._peak_at = timedelta(0)
         self.reported_at = timedelta(0)
-        #: Whether it has reported its load; plain endpoints never do.
+        #: Whether it has reported its load, which plain endpoints never do.
         self.has_engine = False
         self._probe: asyncio.Task[None] | None = None
         self.start_again(bounds_by_phase)
 
     def start_again(self, bounds_by_phase: dict[Phase, SilenceBounds]) -> None:
-        """Forget what was learned of the start before.
+        """Reset the state that belongs to the previous start.
 
         Args:
-            bounds_by_phase: Where its silence limits may move.
+            bounds_by_phase: The ranges of its silence limits.
         """
         self.limits_by_phase = {
             phase: SilenceLimit(bounds=bounds)
@@ -234,28 +242,28 @@
         self.reset_ejection()
 
     def lose_streams(self) -> None:
-        """End all streams there: nothing holds them any more."""
+        """Fail all streams of the endpoint, which no longer runs any of them."""
         for guard in list(self.guards):
             guard.lose()
 
     @property
     def waiting_streams(self) -> int:
-        """How many of this host's streams there have no output yet."""
+        """Number of this host's streams there without output so far."""
         return sum(not guard.reads for guard in self.guards)
 
     @property
     def running_streams(self) -> int:
-        """How many of this host's streams there have output already."""
+        """Number of this host's streams there that have output."""
         return len(self.guards) - self.waiting_streams
 
     def enter(self) -> None:
-        """Count one more of this host's requests."""
+        """Count the start of one of this host's requests."""
         self.own_streams += 1
         if self.is_ejected or self.is_failing:
             self._is_half_open = True
 
     def leave(self) -> None:
-        """Count one of this host's requests out."""
+        """Count the end of one of this host's requests."""
         now = self._clock.monotonic()
         if self.own_streams >= self._peak or now - self._peak_at > MAX_REPORT_LAG:
             self._peak = self.own_streams
@@ -265,8 +273,8 @@
             self._is_half_open = False
 
     @property
-    def has_served_one(self) -> bool:
-        """Whether no more than one request was there a moment ago, as far as known."""
+    def had_at_most_one_request(self) -> bool:
+        """Whether the endpoint recently had at most one request, as far as known."""
         is_recent = self._clock.monotonic() - self._peak_at <= MAX_REPORT_LAG
         others = self._others_load(self.endpoint.start)
         return self.own_streams + (self._peak if is_recent else 0) <= 1 and not (
@@ -276,14 +284,14 @@
     def view(
         self, *, is_unstable: bool = False, accepts_requests: bool = True
     ) -> EndpointView:
-        """Return what decisions read.
+        """Return the routing view of the endpoint.
 
         Args:
-            is_unstable: Whether a run was lost in its failure domain a moment ago.
-            accepts_requests: Whether it wants a request of this host now.
+            is_unstable: Whether a run was recently lost in its failure domain.
+            accepts_requests: Whether it accepts a request from this host now.
         """
         others = self._others_load(self.endpoint.start)
-        is_doubted = self._clock.monotonic() < self._deprioritized_until
+        is_deprioritized = self._clock.monotonic() < self._deprioritized_until
         return EndpointView(
             id=self.endpoint.id,
             failure_domain=self.endpoint.failure_domain,
@@ -295,7 +303,7 @@
             max_streams=self.endpoint.max_streams,
             ejected_until=self.ejected_until,
             resume_tokens=self.resume_tokens,
-            is_unstable=is_unstable or is_doubted,
+            is_unstable=is_unstable or is_deprioritized,
             is_half_open=self._is_half_open,
             kv_tokens=self.kv_tokens + others.held,
             prefill_tokens=self.prefill_tokens + others.reading,
@@ -305,50 +313,50 @@
         )
 
     def update_report(self, report: LoadReport) -> None:
-        """Take in what the endpoint says of itself."""
+        """Apply a load report of the endpoint."""
         self.has_engine = True
         self._report = report
         # A report may still show requests of this host that have ended since.
         is_recent = self._clock.monotonic() - self._peak_at <= MAX_REPORT_LAG
-        own_then = self._peak if is_recent else 0
-        self._own_at_report = max(self.own_streams, own_then)
+        recent_peak = self._peak if is_recent else 0
+        self._own_at_report = max(self.own_streams, recent_peak)
         self.reported_at = self._clock.monotonic()
         if report.draining:
             self._departures.note(self.endpoint.start, channel="its own report")
 
     @property
     def state(self) -> EndpointState:
-        """Whether it may get new work, as far as anything tells."""
+        """The state by which it may get new work, by configuration and departures."""
         if self._departures.is_leaving(self.endpoint):
             return EndpointState.DRAINING
         return self.endpoint.state
 
     def record_ended(self) -> None:
-        """Take in that it has ended for good, whatever the configuration says."""
+        """Record that this start has exited, whatever the configuration states."""
         self._departures.note(self.endpoint.start, channel="its address")
 
     @property
     def is_ejected(self) -> bool:
-        """Whether it gets no new work for now."""
+        """Whether it currently gets no new work."""
         until = self.ejected_until
         return until is not None and until > self._clock.monotonic()
 
     def eject(self, now: timedelta) -> None:
-        """Give it no new work for a while, longer each time."""
+        """Give it no new work for a time that doubles with each ejection."""
         self.ejected_until = now + self._ejection
         self._ejection = min(2 * self._ejection, MAX_EJECTION)
 
     def eject_failing(self, now: timedelta) -> None:
-        """Give it no new work for a while; then one call at a time until it is well."""
+        """Eject it, and afterwards send it one call at a time until one succeeds."""
         self.eject(now)
         self.is_failing = True
 
     def deprioritize(self, now: timedelta) -> None:
-        """Pass it over for a moment where another can take a call."""
+        """Prefer other endpoints for ``DEPRIORITIZED_TIME``."""
         self._deprioritized_until = now + DEPRIORITIZED_TIME
 
     def reset_ejection(self) -> None:
-        """Forget past ejections and unanswered calls, after an answer."""
+        """Reset ejections and unanswered calls, after an answer or a restart."""
         self.unanswered_calls = 0
         self.is_failing = False
         self._is_half_open = False
@@ -356,7 +364,7 @@
         self._ejection = INITIAL_EJECTION
 
     def check_silence(self, now: timedelta) -> None:
-        """Start a probe if a stream has been silent for too long."""
+        """Start a probe if a stream has exceeded its silence limit."""
         if self._probe is not None and not self._probe.done():
             return
         self._record_prefill()
@@ -365,17 +373,17 @@
             self._probe = asyncio.create_task(self._probe_until_decided(silent))
 
     def _record_prefill(self) -> None:
-        """Take in how much waits to be read, for the streams that wait with it."""
+        """Update each stream's maximum of the tokens waiting for prefill."""
         others = self._others_load(self.endpoint.start)
-        reading = self.prefill_tokens + others.reading
+        prefill_tokens = self.prefill_tokens + others.reading
         for guard in self.guards:
-            guard.max_prefill_tokens = max(guard.max_prefill_tokens, reading)
+            guard.max_prefill_tokens = max(guard.max_prefill_tokens, prefill_tokens)
 
     def reset_silence(self, now: timedelta) -> None:
-        """Count silence anew: this host was too busy to hear."""
+        """Restart the measurement of silence, since this host was too busy to read."""
         for guard in self.guards:
             guard.quiet_since = now
-            guard.spared_since = None
+            guard.silence_began_at = None
 
     def _is_silent(self, guard: StreamGuard, now: timedelta) -> bool:
         reads = guard.reads - guard.seen_reads
@@ -385,73 +393,73 @@
         if reads or not guard.is_waiting:
             guard.seen_reads = guard.reads
             guard.quiet_since = now
-            guard.spared_since = None
-            guard.judged_from = now
+            guard.silence_began_at = None
+            guard.next_check_at = now
             return False
-        is_judged = now >= guard.judged_from
+        is_judged = now >= guard.next_check_at
         return is_judged and now - guard.quiet_since > limit.current()
 
     async def _probe_until_decided(self, silent: list[StreamGuard]) -> None:
         if not self.engine.reports_load:
-            await self._judge_by_reach(silent)
+            await self._judge_by_reachability(silent)
             return
         history = ProbeHistory()
         while True:
             report = await self.engine.probe()
-            still = [guard for guard in silent if self._is_still_silent(guard)]
-            if not still:
+            still_silent = [guard for guard in silent if self._is_still_silent(guard)]
+            if not still_silent:
                 return
             if report is None and self._lag.is_lagging:
-                # The answer may be here, unread.
+                # The answer may have arrived and still wait to be read.
                 await self._clock.sleep(WATCH_INTERVAL)
                 continue
             if history.judge(report.step if report else None) is Verdict.FROZEN:
-                self._give_up()
+                self._trip_waiting()
                 return
             self.update_report(report)
             if history.stalled_probes == 0:
-                self._spare(still)
+                self._keep_waiting(still_silent)
                 return
             await self._clock.sleep(WATCH_INTERVAL * 2)
 
-    async def _judge_by_reach(self, silent: list[StreamGuard]) -> None:
-        """Judge an endpoint that reports no load by whether it takes a connection."""
+    async def _judge_by_reachability(self, silent: list[StreamGuard]) -> None:
+        """Judge an endpoint that reports no load by whether it accepts a connection."""
         is_reachable = await self.engine.is_reachable()
         if not is_reachable and not self._lag.is_lagging:
-            self._give_up()
+            self._trip_waiting()
             return
-        self._spare([guard for guard in silent if self._is_still_silent(guard)])
+        self._keep_waiting([guard for guard in silent if self._is_still_silent(guard)])
 
     def _is_still_silent(self, guard: StreamGuard) -> bool:
         waits = guard in self.guards and guard.is_waiting
         return waits and guard.reads == guard.seen_reads
 
-    def _give_up(self) -> None:
-        """End all streams of the endpoint that wait for it."""
+    def _trip_waiting(self) -> None:
+        """Trip all streams that wait for output of the frozen endpoint."""
         lost = [guard for guard in self.guards if self._is_still_silent(guard)]
         log_event("silence", "Endpoint frozen.", peer=self.endpoint.id, lost=len(lost))
         for guard in lost:
             guard.end(LossKind.FROZEN)
 
-    def _spare(self, guards: list[StreamGuard]) -> None:
-        """Let streams wait on, unless one alone has been silent for too long."""
+    def _keep_waiting(self, guards: list[StreamGuard]) -> None:
+        """Keep streams of a live endpoint waiting, and end those that are stuck."""
         now = self._clock.monotonic()
         for guard in guards:
-            guard.spared_since = guard.spared_since or guard.quiet_since
+            guard.silence_began_at = guard.silence_began_at or guard.quiet_since
             guard.quiet_since = now
             stuck_after = guard.stuck_after(
                 self.limits_by_phase[guard.phase].stuck_after
             )
-            if stuck_after is not None and now - guard.spared_since > stuck_after:
+            if stuck_after is not None and now - guard.silence_began_at > stuck_after:
                 self._log_stuck(guard, now)
-                self._on_silent(guard.spared_since)
+                self._on_silent(guard.silence_began_at)
                 guard.end(LossKind.RESET)
 
     def _log_stuck(self, guard: StreamGuard, now: timedelta) -> None:
         log_event(
             "silence",
-            "Stream stuck, though its endpoint lives.",
+            "Stream stuck although its endpoint is alive.",
             peer=self.endpoint.id,
             phase=guard.phase,
-            silent_for=now - guard.spared_since,
+            silent_for=now - guard.silence_began_at,
         )
--- a/passtally/load_exchange.py
+++ b/passtally/load_exchange.py
@@ -1,7 +1,7 @@
-"""Tells peers what this host's runs take at endpoints, and hears it of theirs.
+"""Exchange of the load of runs at endpoints between hosts.
 
-Without it each host would see its own runs only, and hosts that choose the least
-loaded endpoint at the same moment would choose the same one.
+Without it each host would only see its own runs, and hosts that pick the least loaded
+endpoint at the same moment would all pick the same one.
 """
 
 import asyncio
@@ -17,16 +17,16 @@
 from passtally.peers import Peers
 from passtally.roster import Roster
 
-#: How long changes are gathered before they are told, where few hosts are told.
+#: Minimum time in which changes are batched before they are sent.
 SEND_INTERVAL = timedelta(milliseconds=20)
-#: Each host to be told makes the interval longer, so that the cost is bounded.
+#: Minimum of that time per linked host, which bounds the messages sent per second.
 SEND_INTERVAL_PER_HOST = timedelta(milliseconds=4)
-#: Loads that did not change are told again this often, for peers that missed them.
-REPEAT_INTERVAL = timedelta(seconds=2)
-#: Hosts that could not be told, or have just come, are told this soon: until then they
-#: take endpoints for idle that are not.
+#: Interval at which unchanged loads are sent again, for peers that missed them.
+RESEND_INTERVAL = timedelta(seconds=2)
+#: Interval at which loads are sent to hosts that were unreachable or have just joined.
+#: Until then these hosts consider endpoints idle that are not.
 CATCH_UP_INTERVAL = timedelta(milliseconds=200)
-#: Loads that were not told again are forgotten: their host may be gone.
+#: Time without an update after which a host's loads are dropped, as it may be dead.
 FORGET_AFTER = timedelta(seconds=5)
 NO_LOAD = TokenLoad()
 
@@ -38,45 +38,51 @@
 
 
 class LoadTable:
-    """What the other hosts' runs take at endpoints. Pure."""
+    """The load of the other hosts' runs at endpoints. Pure."""
 
     def __init__(self) -> None:
-        self._heard_by_host: dict[str, _HostLoads] = {}
+        self._loads_by_host: dict[str, _HostLoads] = {}
         self._totals_by_start: dict[EndpointStart, TokenLoad] = {}
 
-    def take(
+    def update(
         self,
         host_id: str,
         loads_by_endpoint: Mapping[str, TokenLoad],
         *,
         now: timedelta,
     ) -> None:
-        """Take in one host's loads."""
-        self._heard_by_host[host_id] = _HostLoads(
+        """Replace the loads of one host, and update the totals.
+
+        Args:
+            host_id: The host that reports the loads.
+            loads_by_endpoint: Its loads; endpoints without any are omitted.
+            now: The monotonic time.
+        """
+        self._loads_by_host[host_id] = _HostLoads(
             loads_by_endpoint=loads_by_endpoint, received_at=now
         )
-        self._sum()
+        self._update_totals()
 
-    def forget_old(self, now: timedelta) -> None:
-        """Forget the hosts that were not heard of for long."""
-        old = [
+    def remove_expired(self, now: timedelta) -> None:
+        """Drop the loads of hosts without an update for ``FORGET_AFTER``."""
+        expired = [
             host_id
-            for host_id, heard in self._heard_by_host.items()
-            if now - heard.received_at > FORGET_AFTER
+            for host_id, host_loads in self._loads_by_host.items()
+            if now - host_loads.received_at > FORGET_AFTER
         ]
-        for host_id in old:
-            del self._heard_by_host[host_id]
-        if old:
-            self._sum()
+        for host_id in expired:
+            del self._loads_by_host[host_id]
+        if expired:
+            self._update_totals()
 
     def load(self, start: EndpointStart) -> TokenLoad:
-        """Return what the others' runs take at one start of an endpoint."""
+        """Return the total load of other hosts' runs at one start of an endpoint."""
         return self._totals_by_start.get(start, NO_LOAD)
 
-    def _sum(self) -> None:
+    def _update_totals(self) -> None:
         self._totals_by_start = {}
-        for heard in self._heard_by_host.values():
-            for endpoint_id, load in heard.loads_by_endpoint.items():
+        for host_loads in self._loads_by_host.values():
+            for endpoint_id, load in host_loads.loads_by_endpoint.items():
                 start = EndpointStart(
                     endpoint_id=endpoint_id, incarnation=load.incarnation
                 )
@@ -90,16 +96,16 @@
 
 
 class LoadExchange:
-    """Tells and hears news.
+    """Sends this host's loads, losses and request limits to peers, and applies theirs.
 
     Args:
-        host_id: This host's name.
-        load_table: Where the others' loads go.
-        fleet: The endpoints.
-        peers: The links.
-        roster: Who is there.
+        host_id: This host's id.
+        load_table: Receives the loads of the other hosts.
+        fleet: The live endpoints.
+        peers: The links to other hosts.
+        roster: The known hosts.
         clock: The clock.
-        on_lost: Called with each start of an endpoint that a peer found gone.
+        on_lost: Called with each start of an endpoint that a peer reports unreachable.
     """
 
     def __init__(
@@ -120,23 +126,23 @@
         self._roster = roster
         self._clock = clock
         self._on_lost = on_lost
-        self._told: Mapping[str, TokenLoad] = {}
-        self._told_rates: Mapping[tuple[str, int], float | None] = {}
-        self._told_at = timedelta(0)
-        #: The hosts that were told the loads as they are now.
-        self._told_ids: set[str] = set()
+        self._sent_loads: Mapping[str, TokenLoad] = {}
+        self._sent_rates: Mapping[tuple[str, int], float | None] = {}
+        self._sent_at = timedelta(0)
+        #: The hosts that have received the current loads.
+        self._up_to_date_ids: set[str] = set()
         self._is_first = True
         peers.listen(HostNews, self._receive)
 
     async def run(self) -> None:
-        """Tell changes, for ever."""
+        """Send changes to all linked hosts, forever."""
         while True:
             await self._wait_for_change()
-            host_ids = self._audience()
+            host_ids = self._linked_ids()
             await self._clock.sleep(
                 max(SEND_INTERVAL, len(host_ids) * SEND_INTERVAL_PER_HOST)
             )
-            self._load_table.forget_old(self._clock.monotonic())
+            self._load_table.remove_expired(self._clock.monotonic())
             await self._send_updates(host_ids)
 
     async def _wait_for_change(self) -> None:
@@ -148,7 +154,7 @@
         finally:
             self._fleet.load_changed.clear()
 
-    def _audience(self) -> list[str]:
+    def _linked_ids(self) -> list[str]:
         return [row.host_id for row in self._roster.linked()]
 
     async def _send_updates(self, host_ids: list[str]) -> None:
@@ -157,13 +163,15 @@
         now = self._clock.monotonic()
         limits = self._fleet.limits.rows(now=now)
         rates = {(row.endpoint_id, row.incarnation): row.rate for row in limits}
-        is_due = bool(loads or rates) and now - self._told_at > REPEAT_INTERVAL
-        if loads != self._told or rates != self._told_rates or lost or is_due:
-            self._told, self._told_rates, self._told_at = loads, rates, now
-            self._told_ids.clear()
-        missing = [host_id for host_id in host_ids if host_id not in self._told_ids]
+        is_due = bool(loads or rates) and now - self._sent_at > RESEND_INTERVAL
+        if loads != self._sent_loads or rates != self._sent_rates or lost or is_due:
+            self._sent_loads, self._sent_rates, self._sent_at = loads, rates, now
+            self._up_to_date_ids.clear()
+        missing = [
+            host_id for host_id in host_ids if host_id not in self._up_to_date_ids
+        ]
         if missing:
-            news = HostNews(
+            message = HostNews(
                 host_id=self.host_id,
                 loads_by_endpoint=loads,
                 lost=[start.endpoint_id for start in lost],
@@ -171,16 +179,16 @@
                 is_first=self._is_first,
                 limits=limits,
             )
-            told = await self._peers.send_message(missing, news)
-            self._told_ids |= told
-            self._is_first = self._is_first and not told
+            reached = await self._peers.send_message(missing, message)
+            self._up_to_date_ids |= reached
+            self._is_first = self._is_first and not reached
 
-    def _receive(self, news: HostNews) -> None:
+    def _receive(self, message: HostNews) -> None:
         now = self._clock.monotonic()
-        self._load_table.take(news.host_id, news.loads_by_endpoint, now=now)
-        if self._fleet.limits.merge(news.limits, now=now):
+        self._load_table.update(message.host_id, message.loads_by_endpoint, now=now)
+        if self._fleet.limits.merge(message.limits, now=now):
             self._fleet.load_changed.set()
-        if news.is_first:
-            self._told_ids.discard(news.host_id)
-        for start in news.lost_starts():
+        if message.is_first:
+            self._up_to_date_ids.discard(message.host_id)
+        for start in message.lost_starts():
             self._on_lost(start)
--- a/passtally/quarantine.py
+++ b/passtally/quarantine.py
@@ -1,12 +1,13 @@
-"""Requests under which endpoints ended, and those of them that are refused. Pure.
+"""Requests whose endpoints crashed, and which of them are quarantined. Pure.
 
-A request may end each endpoint that begins to run it, and comes again, at any host.
-What all its tries have in common is its fingerprint, see :mod:`passtally.fingerprint`.
-Most requests whose endpoint ends did not end it: so ends are counted by endpoint, and a
-single good end of the request shows that none of them were its doing.
+A request may crash every endpoint that starts to run it, and its caller may retry it at
+any host. All retries share a fingerprint, see :mod:`passtally.fingerprint`. Most
+requests that run on a crashing endpoint did not cause the crash. Crashes are therefore
+counted once per start of an endpoint, and a single success of the request clears it of
+all crashes so far.
 
-Hosts tell each other what they counted. What is told only grows, the ends as well as
-those of them that are cleared, so that it may come twice, late and by any way.
+Hosts exchange these counts. The sets of crashes and of cleared crashes only grow, so
+rows can be merged in any order, late, and more than once.
 """
 
 from collections import OrderedDict
@@ -18,34 +19,36 @@
 from passtally.messages import CrashRow
 from passtally.objects import EndpointStart
 
-#: How many endpoints may end under a request before it is refused.
+#: Number of endpoint crashes from which a request is quarantined.
 MAX_CRASHES = 3
-#: For how long after its last end a request is refused, and its ends are remembered.
+#: Duration of a quarantine, and of the memory of crashes, since the last crash.
 RETENTION_TIME = timedelta(minutes=10)
-#: For how long after a good end no end of an endpoint counts against a request. One
-#: that many callers send alike meets many of both on a bad day.
-TRUSTED_FOR = timedelta(minutes=1)
-#: The most requests whose ends are remembered; who sends more loses the oldest.
+#: Time after a success in which no crash counts against a request. A request that many
+#: callers send identically both succeeds and meets crashes often when many endpoints
+#: crash.
+TRUST_TIME = timedelta(minutes=1)
+#: Limit of requests whose crashes are remembered; the oldest is dropped beyond it.
 MAX_SUSPECTS = 512
-#: For how long other hosts are told of a request under which a single endpoint ended.
-#: Where many end at once, so many are innocent that not all can be told in that time.
+#: Time after the last crash in which a request with a single crash is sent to other
+#: hosts. When many endpoints crash at once, too many innocent requests have a single
+#: crash to send all of them in that time.
 SINGLE_CRASH_SEND_TIME = timedelta(seconds=2)
-#: The most requests whose good end is remembered, some 64 a second.
+#: Limit of requests whose success is remembered, enough for about 64 a second.
 MAX_TRUSTED = 4096
-#: The most ends that are remembered of one request.
-MAX_NAMED = 16
+#: Limit of starts of endpoints that are recorded for one request.
+MAX_RECORDED_STARTS = 16
 
 
 @attrs.define(kw_only=True)
 class Suspect:
-    """What is known of one request under which endpoints ended.
+    """A request whose endpoints crashed while they ran it.
 
     Attributes:
-        fingerprint: The request.
-        crashed: The starts of endpoints that ended under it, in the order heard.
-        cleared: Those of them that are known not to be its doing.
-        last_crash_at: When the last one ended, on this host's monotonic clock.
-        sent_at: When other hosts were last told of it; None while there is news.
+        fingerprint: The fingerprint of the request.
+        crashed: Starts of endpoints that crashed while running it, in order of receipt.
+        cleared: Starts in ``crashed`` whose crash the request is known not to cause.
+        last_crash_at: Time of the last crash, on this host's monotonic clock.
+        sent_at: Time of the last update to other hosts; None while one is due.
     """
 
     fingerprint: bytes
@@ -56,26 +59,26 @@
 
     @property
     def open_crashes(self) -> list[str]:
-        """The starts of endpoints that may have ended by it."""
+        """Starts of endpoints whose crash the request may have caused."""
         return [start for start in self.crashed if start not in self.cleared]
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether it is refused."""
+        """Whether the request is refused because of its crashes."""
         return len(self.open_crashes) >= MAX_CRASHES
 
     def merge(self, crashed: Iterable[str], cleared: Collection[str]) -> bool:
-        """Add what is not known, and return whether there was any."""
+        """Add crashes and cleared crashes, and return whether any of them was new."""
         before = len(self.crashed), len(self.cleared)
         for start in (*crashed, *cleared):
-            if len(self.crashed) < MAX_NAMED:
+            if len(self.crashed) < MAX_RECORDED_STARTS:
                 self.crashed.setdefault(start)
         self.cleared |= self.crashed.keys() & set(cleared)
         return before != (len(self.crashed), len(self.cleared))
 
 
 class Quarantine:
-    """The requests under which endpoints ended, as far as this host knows."""
+    """The crash counts of requests, as far as they are known to this host."""
 
     def __init__(self) -> None:
         self._suspects: OrderedDict[bytes, Suspect] = OrderedDict()
@@ -84,23 +87,23 @@
     def record_crash(
         self, fingerprint: bytes, start: EndpointStart, *, now: timedelta
     ) -> Suspect | None:
-        """Take in that an endpoint ended while it ran a request.
+        """Count the crash of an endpoint against a request that it was running.
 
         Returns:
-            What is known of the request now; None where it ended well a moment ago.
+            The updated suspect; None if the request succeeded within ``TRUST_TIME``.
         """
         if not fingerprint or self._is_trusted(fingerprint, now):
             return None
-        suspect = self._take(fingerprint, crashed_at=now)
-        if suspect.merge([_name_of(start)], ()):
+        suspect = self._get_or_add(fingerprint, crashed_at=now)
+        if suspect.merge([_start_name(start)], ()):
             suspect.sent_at = None
         return suspect
 
     def record_success(self, fingerprint: bytes, *, now: timedelta) -> bool:
-        """Take in that an endpoint ran a request to a good end.
+        """Record that a request succeeded, which clears it of all crashes so far.
 
         Returns:
-            Whether that clears it of ends of endpoints.
+            Whether there were crashes to clear.
         """
         if not fingerprint:
             return False
@@ -111,7 +114,7 @@
         return self.lift(fingerprint)
 
     def lift(self, fingerprint: bytes) -> bool:
-        """Clear a request of all ends so far; return whether there were any."""
+        """Clear a request of all crashes so far, and return whether there were any."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.open_crashes:
             return False
@@ -120,91 +123,93 @@
         return True
 
     def find(self, fingerprint: bytes, *, now: timedelta) -> Suspect | None:
-        """Return what is known of a request, if an endpoint may have ended by it."""
+        """Return the suspect for a request, or None if no open crash is on record."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or now - suspect.last_crash_at > RETENTION_TIME:
             return None
         return suspect if suspect.open_crashes else None
 
     def remaining(self, fingerprint: bytes, *, now: timedelta) -> timedelta | None:
-        """Return how long a request is still refused, or None if it is not."""
+        """Return the time left in a request's quarantine; None if not quarantined."""
         suspect = self.find(fingerprint, now=now)
         if suspect is None or not suspect.is_quarantined:
             return None
         return RETENTION_TIME - (now - suspect.last_crash_at)
 
     def held(self, *, now: timedelta) -> list[Suspect]:
-        """Return the requests that are refused."""
-        self._forget_old(now)
+        """Return the quarantined requests."""
+        self._remove_expired(now)
         return [
             suspect for suspect in self._suspects.values() if suspect.is_quarantined
         ]
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is known of any request."""
+        """Whether no request has crashes on record."""
         return not self._suspects
 
     def rows(self, *, now: timedelta) -> list[CrashRow]:
-        """Return what matters, to tell it to a host that has just started."""
-        self._forget_old(now)
+        """Return the requests with several crashes, for a host that asks for them."""
+        self._remove_expired(now)
         return [
-            _row_of(suspect, now)
+            _to_row(suspect, now)
             for suspect in self._suspects.values()
             if len(suspect.crashed) > 1
         ]
 
     def pop_updates(
-        self, most: int, *, now: timedelta, told_before: timedelta
+        self, most: int, *, now: timedelta, sent_before: timedelta
     ) -> list[CrashRow]:
-        """Return what other hosts are to be told, and count it as told.
+        """Return the rows that are due to be sent to other hosts, and mark them sent.
 
         Args:
-            most: How many at most: news first, and of it the most endpoints.
+            most: Maximum number of rows. Unsent changes come first, and among these the
+                requests with the most open crashes.
             now: The monotonic time.
-            told_before: What has not changed is told again if that was last done
-                before then, and more than one endpoint ended: most requests under
-                which a single one ended are innocent, and many on a bad day.
+            sent_before: Unchanged requests that were last sent at or before this time
+                are sent again if they have more than one open crash. Those with a
+                single crash are mostly innocent, and numerous when many endpoints
+                crash.
         """
-        self._forget_old(now)
-        self._drop_old_news(now)
+        self._remove_expired(now)
+        self._expire_single_crashes(now)
         due = [
             suspect
             for suspect in self._suspects.values()
             if suspect.sent_at is None
-            or (suspect.sent_at <= told_before and len(suspect.open_crashes) > 1)
+            or (suspect.sent_at <= sent_before and len(suspect.open_crashes) > 1)
         ]
-        due.sort(key=_urgency)
+        due.sort(key=_send_order)
         for suspect in due[:most]:
             suspect.sent_at = now
-        return [_row_of(suspect, now) for suspect in due[:most]]
+        return [_to_row(suspect, now) for suspect in due[:most]]
 
     @property
     def has_updates(self) -> bool:
-        """Whether something has changed that other hosts were not told."""
+        """Whether there are changes that were not sent to other hosts."""
         return any(suspect.sent_at is None for suspect in self._suspects.values())
 
     @property
     def has_urgent_updates(self) -> bool:
-        """Whether hosts were not told of one under which several endpoints ended."""
+        """Whether a change to a request with several open crashes was not sent."""
         return any(
             suspect.sent_at is None and len(suspect.open_crashes) > 1
             for suspect in self._suspects.values()
         )
 
     def merge(self, row: CrashRow, *, now: timedelta) -> Suspect | None:
-        """Take in what another host tells.
+        """Merge a row received from another host.
 
         Returns:
-            What is known of the request now, where something was new.
+            The updated suspect, or None if the row changed nothing.
         """
         age = timedelta(milliseconds=row.age_ms)
         count = len(row.crashed) + len(row.cleared)
         if age > RETENTION_TIME or not count:
             return None
-        if row.fingerprint not in self._suspects and not self._make_room(count):
+        if row.fingerprint not in self._suspects and not self._evict_for(count):
             return None
-        suspect = self._take(row.fingerprint, crashed_at=now - age)
+        suspect = self._get_or_add(row.fingerprint, crashed_at=now - age)
         is_new = suspect.merge(row.crashed, row.cleared)
         if is_new and self._is_trusted(row.fingerprint, now):
             suspect.merge((), list(suspect.crashed))
@@ -213,7 +218,8 @@
         suspect.sent_at = None
         return suspect
 
-    def _take(self, fingerprint: bytes, *, crashed_at: timedelta) -> Suspect:
+    def _get_or_add(self, fingerprint: bytes, *, crashed_at: timedelta) -> Suspect:
+        """Return a request's suspect with its last crash moved to a time if later."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             suspect = Suspect(fingerprint=fingerprint, last_crash_at=crashed_at)
@@ -224,45 +230,48 @@
             self._suspects.popitem(last=False)
         return suspect
 
-    def _make_room(self, count: int) -> bool:
-        """Return whether there is room for what another host tells.
+    def _evict_for(self, count: int) -> bool:
+        """Make room for a request from another host, and return whether there is any.
 
-        It takes the place only of one under which fewer endpoints ended: hosts that
-        forget different ones would tell each other of them for ever.
+        A request is evicted only for one with more crashes. Otherwise two full hosts
+        that evicted different requests would keep sending these to each other forever.
+
+        Args:
+            count: Number of crashes in the row from the other host.
         """
         if len(self._suspects) < MAX_SUSPECTS:
             return True
-        least = min(self._suspects.values(), key=lambda known: len(known.crashed))
-        if len(least.crashed) >= count:
+        weakest = min(self._suspects.values(), key=lambda known: len(known.crashed))
+        if len(weakest.crashed) >= count:
             return False
-        del self._suspects[least.fingerprint]
+        del self._suspects[weakest.fingerprint]
         return True
 
-    def _drop_old_news(self, now: timedelta) -> None:
+    def _expire_single_crashes(self, now: timedelta) -> None:
         for suspect in self._suspects.values():
-            is_old = now - suspect.last_crash_at > SINGLE_CRASH_SEND_TIME
-            if suspect.sent_at is None and is_old and len(suspect.crashed) == 1:
+            is_outdated = now - suspect.last_crash_at > SINGLE_CRASH_SEND_TIME
+            if suspect.sent_at is None and is_outdated and len(suspect.crashed) == 1:
                 suspect.sent_at = now
 
     def _is_trusted(self, fingerprint: bytes, now: timedelta) -> bool:
         at = self._trusted_at.get(fingerprint)
-        return at is not None and now - at <= TRUSTED_FOR
+        return at is not None and now - at <= TRUST_TIME
 
-    def _forget_old(self, now: timedelta) -> None:
+    def _remove_expired(self, now: timedelta) -> None:
         for fingerprint, suspect in list(self._suspects.items()):
             if now - suspect.last_crash_at > RETENTION_TIME:
                 del self._suspects[fingerprint]
 
 
-def _urgency(suspect: Suspect) -> tuple[timedelta, int]:
+def _send_order(suspect: Suspect) -> tuple[timedelta, int]:
     return suspect.sent_at or timedelta.min, -len(suspect.open_crashes)
 
 
-def _name_of(start: EndpointStart) -> str:
+def _start_name(start: EndpointStart) -> str:
     return f"{start.endpoint_id}/{start.incarnation}"
 
 
-def _row_of(suspect: Suspect, now: timedelta) -> CrashRow:
+def _to_row(suspect: Suspect, now: timedelta) -> CrashRow:
     return CrashRow(
         fingerprint=suspect.fingerprint,
         crashed=suspect.open_crashes,
--- a/passtally/quarantine_exchange.py
+++ b/passtally/quarantine_exchange.py
@@ -1,7 +1,8 @@
-"""Tells the other hosts of requests under which endpoints ended, and hears it of them.
+"""Exchange of the crash counts of requests between hosts.
 
-A caller's next try comes to any host. Each host hands on what is new to it, so that all
-hear of an end within a few messages' time, also where a host is linked to few others.
+A caller's retry may reach any host. Each host forwards the updates that are new to it,
+so that all hosts receive a crash within a few hops, even if each is linked to only a
+few others.
 """
 
 import asyncio
@@ -15,37 +16,38 @@
 from passtally.messages import FetchQuarantine, QuarantineNews
 from passtally.peers import PeerError, Peers
 
-#: How long news is gathered that can wait, and how much longer for each host that is
-#: told: of many ends at once each host hears from several others.
-GATHER = timedelta(milliseconds=5)
-GATHER_PER_HOST = timedelta(milliseconds=1)
-#: The pause between two messages of what is new beyond the first. It bounds what ends
-#: of many endpoints at once cost a small link: 16 KB a second to each host.
-PART_PAUSE = timedelta(milliseconds=200)
-#: How often what matters is told again, for hosts that missed it: a message may be lost
-#: with its link.
-REPEAT_INTERVAL = timedelta(seconds=1)
-#: The most requests told in one message, of some 100 bytes each.
+#: Time in which updates that are not urgent are batched before they are sent, plus
+#: :data:`GATHER_TIME_PER_HOST` for each host that they go to. When many endpoints crash
+#: at once, each host receives updates from several others, and sends them on together.
+GATHER_TIME = timedelta(milliseconds=5)
+GATHER_TIME_PER_HOST = timedelta(milliseconds=1)
+#: Pause after a full message of ``MAX_ROWS`` rows. It limits the traffic over a slow
+#: link to 16 KB a second for each host when many endpoints crash at once.
+BATCH_PAUSE = timedelta(milliseconds=200)
+#: Interval at which requests with several open crashes are sent again, since a message
+#: may be lost with its link.
+RESEND_INTERVAL = timedelta(seconds=1)
+#: Limit of rows in one message, of about 100 bytes each.
 MAX_ROWS = 32
-#: How often a host that has just started asks until one answers, and how long each may
-#: take.
+#: Interval at which a host that has just started asks others until one answers.
 FIRST_ASK_INTERVAL = timedelta(milliseconds=200)
+#: Timeout of one such request.
 ASK_TIMEOUT = timedelta(milliseconds=300)
-#: How often a host asks one of another failure domain later: such a link leads one way,
-#: and where its own domain is cut off nobody may tell it.
+#: Interval at which a host later asks a host of another failure domain. Links between
+#: domains are one-way, so a host whose own domain is cut off may receive no updates.
 ASK_INTERVAL = timedelta(seconds=1)
 
 
 class QuarantineExchange:
-    """Keeps what hosts know of such requests alike.
+    """Synchronizes the crash counts of requests with other hosts.
 
     Args:
-        guard: What refuses requests here.
-        peers: The links.
-        linked_ids: Returns the hosts that this one is linked to.
-        far_ids: Returns those of them that may not be linked to this one.
+        guard: The local crash guard.
+        peers: The links to other hosts.
+        linked_ids: Returns the hosts that this host has a link to.
+        far_ids: Returns those of them that may have no link back to this host.
         clock: The clock.
-        rng: Where the choice of the host to ask comes from.
+        rng: Random source for the choice of the host to ask.
     """
 
     def __init__(
@@ -69,28 +71,30 @@
         peers.on(FetchQuarantine, self._answer)
 
     async def run(self) -> None:
-        """Tell what is new, and now and then again, for ever."""
+        """Send updates as they arise, and resend the important ones, forever."""
         while True:
-            await self._wait_for_news()
+            await self._wait_for_change()
             host_ids = self._linked_ids()
             if not self._quarantine.has_urgent_updates:
-                await self._clock.sleep(GATHER + len(host_ids) * GATHER_PER_HOST)
+                await self._clock.sleep(
+                    GATHER_TIME + len(host_ids) * GATHER_TIME_PER_HOST
+                )
             await self._send_updates(host_ids)
 
     async def ask(self) -> None:
-        """Ask others at the start, and then those who may not tell, for ever."""
+        """Fetch the counts after start-up, then regularly from ``far_ids``, forever."""
         while not await self._ask_one(self._linked_ids()):
             await self._clock.sleep(FIRST_ASK_INTERVAL)
         while True:
             await self._clock.sleep(ASK_INTERVAL)
             await self._ask_one(self._far_ids())
 
-    async def _wait_for_news(self) -> None:
+    async def _wait_for_change(self) -> None:
         changed = self._guard.changed
         if self._quarantine.is_empty:
             await changed.wait()
         try:
-            async with asyncio.timeout(REPEAT_INTERVAL.total_seconds()):
+            async with asyncio.timeout(RESEND_INTERVAL.total_seconds()):
                 await changed.wait()
         except TimeoutError:
             return
@@ -100,13 +104,13 @@
     async def _send_updates(self, host_ids: Sequence[str]) -> None:
         now = self._clock.monotonic()
         rows = self._quarantine.pop_updates(
-            MAX_ROWS, now=now, told_before=now - REPEAT_INTERVAL
+            MAX_ROWS, now=now, sent_before=now - RESEND_INTERVAL
         )
         if rows:
             await self._peers.send_message(host_ids, QuarantineNews(rows=rows))
         if len(rows) == MAX_ROWS:
             self._guard.changed.set()
-            await self._clock.sleep(PART_PAUSE)
+            await self._clock.sleep(BATCH_PAUSE)
 
     async def _ask_one(self, host_ids: Sequence[str]) -> bool:
         """Ask one host, and return whether it answered."""
@@ -127,15 +131,19 @@
     async def _answer(self, message: FetchQuarantine) -> QuarantineNews:
         return QuarantineNews(rows=self._quarantine.rows(now=self._clock.monotonic()))
 
-    def _receive(self, news: QuarantineNews) -> None:
+    def _receive(self, message: QuarantineNews) -> None:
         now = self._clock.monotonic()
-        for row in news.rows:
-            was_held = self._guard.remaining(row.fingerprint) is not None
+        for row in message.rows:
+            was_quarantined = self._guard.remaining(row.fingerprint) is not None
             suspect = self._quarantine.merge(row, now=now)
             if suspect is None:
                 continue
             self._guard.changed.set()
-            if suspect.is_quarantined and not was_held:
+            if suspect.is_quarantined and not was_quarantined:
                 self._guard.record_quarantined(suspect)
-            elif was_held and not suspect.is_quarantined:
-                log_event("quarantine", "Cleared.", fingerprint=row.fingerprint.hex())
+            elif was_quarantined and not suspect.is_quarantined:
+                log_event(
+                    "quarantine",
+                    "Request cleared of crashes.",
+                    fingerprint=row.fingerprint.hex(),
+                )
--- a/passtally/silence.py
+++ b/passtally/silence.py
@@ -1,9 +1,9 @@
-"""How long an endpoint may be silent before it is asked, then given up.
+"""Adaptive silence limits, after which an endpoint is probed and may be given up.
 
-A reset is seen at once; a freeze shows only as silence. The limit adapts to
-each endpoint and phase, as a retransmission timer does. Silence alone gives up
-nothing: the endpoint is first asked for its load, and one that answers and
-whose step counter moves is alive, however slow.
+A reset connection is noticed at once, but a frozen endpoint only shows as
+silence. The limit adapts to each endpoint and phase, like a TCP retransmission
+timer. Silence alone does not fail a stream: the endpoint is first probed for
+its load. If it answers and its step counter advances, it is alive, however slow.
 """
 
 from datetime import timedelta
@@ -11,12 +11,13 @@
 
 import attrs
 
+#: Gains of the smoothed mean and deviation of gaps, as in a TCP retransmission timer.
 MEAN_GAIN = 1 / 8
 DEVIATION_GAIN = 1 / 4
 
 
 class Phase(StrEnum):
-    """What a stream waits for."""
+    """The output that a stream waits for."""
 
     FIRST_TOKEN = "first_token"
     NEXT_TOKEN = "next_token"
@@ -24,15 +25,15 @@
 
 @attrs.frozen(kw_only=True)
 class SilenceBounds:
-    """Where a limit may move.
+    """The range and parameters of a silence limit.
 
     Attributes:
-        initial: The limit before anything was seen.
-        floor: Never shorter than this.
-        ceiling: Never longer than this.
-        deviations: How many deviations above the mean count as silence.
-        stuck_after: When a stream is given up though its endpoint lives; None
-            for never.
+        initial: Limit before the first gap was observed.
+        floor: Minimum of the limit.
+        ceiling: Maximum of the limit.
+        deviations: Number of mean deviations above the mean gap that set the limit.
+        stuck_after: Silence after which a single stream is given up even if its
+            endpoint is alive; None for never.
     """
 
     initial: timedelta
@@ -61,10 +62,11 @@
     """The adaptive limit for one endpoint and phase.
 
     Args:
-        bounds: Where the limit may move.
+        bounds: The range and parameters of the limit.
 
     Attributes:
-        stuck_after: When a stream is given up though its endpoint lives.
+        stuck_after: Silence after which a single stream is given up even if its
+            endpoint is alive; None for never.
     """
 
     def __init__(self, *, bounds: SilenceBounds) -> None:
@@ -74,10 +76,10 @@
         self._deviation = 0.0
 
     def observe(self, gap_seconds: float) -> None:
-        """Take in one gap that ended with a token.
+        """Update the limit with a gap that ended with a token.
 
         Args:
-            gap_seconds: Its length in seconds.
+            gap_seconds: The length of the gap, in seconds.
         """
         if self._mean is None:
             self._mean = gap_seconds
@@ -88,7 +90,7 @@
         self._deviation += DEVIATION_GAIN * (abs(error) - self._deviation)
 
     def current(self) -> timedelta:
-        """Return the silence after which the endpoint is asked."""
+        """Return the silence after which the endpoint is probed."""
         if self._mean is None:
             return self._bounds.initial
         wanted = self._mean + self._bounds.deviations * self._deviation
@@ -97,7 +99,7 @@
 
 
 class Verdict(StrEnum):
-    """What a probe showed."""
+    """The conclusion from the probes of an endpoint."""
 
     ALIVE = "alive"
     FROZEN = "frozen"
@@ -105,22 +107,23 @@
 
 @attrs.define(kw_only=True)
 class ProbeHistory:
-    """What the probes of one silent endpoint showed so far.
+    """The results of the probes of one silent endpoint.
 
     Attributes:
         last_step: The engine's step counter at the last probe, if any.
-        stalled_probes: How many probes in a row saw it unmoved.
+        stalled_probes: Number of consecutive probes that saw the counter unchanged.
     """
 
     last_step: int | None = None
     stalled_probes: int = 0
 
     def judge(self, step: int | None, *, max_stalled: int = 2) -> Verdict:
-        """Take in one probe.
+        """Add the result of a probe, and return the verdict.
 
         Args:
-            step: The step counter it reported, or None for no answer in time.
-            max_stalled: How many unmoved counters in a row make it frozen.
+            step: The reported step counter, or None if no answer came in time.
+            max_stalled: Number of consecutive unchanged counters from which the
+                endpoint counts as frozen.
         """
         if step is None:
             return Verdict.FROZEN
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,8 +1,9 @@
-"""Requests that end each endpoint that begins to run them, beside innocent ones.
+"""Requests that crash every endpoint that starts to run them, beside innocent ones.
 
-The pattern: a caller sends one again and again, with the same path and body, to any
-host; each endpoint that it ends is back some seconds later as another one. On a played
-day 26 to 30 endpoints of 12 ended so, and a third of the innocent streams with them.
+A caller keeps retrying such a request, with the same path and body, at any host. Each
+endpoint that it crashes recovers some seconds later under another id. Without a
+quarantine, 26 to 30 crashes hit a service of 12 endpoints, and a third of the innocent
+streams failed with them.
 """
 
 import asyncio
@@ -16,14 +17,14 @@
 from tests.platform_system import Answer, PlatformSystem, run
 
 FATAL = b"a request that ends what runs it"
-#: How long an ended endpoint is away, in seconds.
-AWAY = 0.5
-#: The endpoints that one such request may end.
-MOST = 3
+#: Time until a crashed endpoint is replaced, in seconds.
+DOWNTIME = 0.5
+#: Maximum number of endpoints that one such request may crash.
+MAX_CRASHED = 3
 
 
 class CrashingSystem:
-    """Hosts in touch, before endpoints that a request ends and that come back."""
+    """Linked hosts before endpoints that crash under a request and are replaced."""
 
     def __init__(self, system: PlatformSystem, *, service: str) -> None:
         self.system = system
@@ -56,11 +57,11 @@
 
     def _record_crash(self, runner: RunnerStandIn) -> None:
         self.crashed.append(runner.name)
-        task = asyncio.create_task(self._come_back(runner))
+        task = asyncio.create_task(self._replace(runner))
         self._tasks.add(task)
 
-    async def _come_back(self, runner: RunnerStandIn) -> None:
-        await asyncio.sleep(AWAY)
+    async def _replace(self, runner: RunnerStandIn) -> None:
+        await asyncio.sleep(DOWNTIME)
         self.system.store.remove("servers", runner.name)
         await self.add_endpoint()
 
@@ -71,7 +72,7 @@
 
 
 def run_crashing(test, *, service: str, **counts: int) -> None:
-    """Run a test before a system whose endpoints a request ends."""
+    """Run a test against a system whose endpoints crash under a request."""
 
     async def main(system: PlatformSystem) -> None:
         crashing = CrashingSystem(system, service=service)
@@ -82,16 +83,16 @@
 
 
 @pytest.mark.parametrize("service", [ENGINE, LOOKUPS], ids=["stream", "call"])
-class TestRepeatedRequest:
-    # Guards against a request that ends each endpoint that runs it and that is tried
-    # on: within a try, in its caller's next tries, and at other hosts.
-    def test_it_ends_no_more_than_three_endpoints(self, service):
+class TestRetriedRequest:
+    # Guards against a request that crashes each endpoint that runs it and is still
+    # retried: by the host itself, by its caller, and at other hosts.
+    def test_a_fatal_request_crashes_at_most_three_endpoints(self, service):
         async def test(crashing: CrashingSystem) -> None:
             answers = []
             for host in itertools.islice(itertools.cycle(crashing.system.hosts), 9):
                 answers.append(await crashing.send(host))
                 await asyncio.sleep(0.1)
-            assert len(crashing.crashed) <= MOST
+            assert len(crashing.crashed) <= MAX_CRASHED
             assert answers[-1].status == 503
             assert float(answers[-1].headers["retry-after"]) > 1
 
@@ -99,16 +100,17 @@
 
 
 class TestInnocentRequests:
-    # Guards against a verdict on requests that were only there when an endpoint ended.
+    # Guards against the quarantine of requests that merely ran on an endpoint when it
+    # crashed.
     @pytest.mark.parametrize("service", [ENGINE, LOOKUPS], ids=["stream", "call"])
-    def test_those_beside_it_are_served(self, service):
+    def test_requests_beside_a_fatal_one_are_served(self, service):
         async def test(crashing: CrashingSystem) -> None:
             hosts = itertools.cycle(crashing.system.hosts)
 
             async def send_fatal() -> None:
                 for _ in range(9):
                     await crashing.send(next(hosts))
-                    # Hosts hear of each other's ends within some milliseconds.
+                    # Hosts receive each other's crashes within some milliseconds.
                     await asyncio.sleep(0.1)
 
             async def send_innocent(number: int) -> int:
@@ -118,20 +120,20 @@
 
             innocent = [send_innocent(number) for number in range(60)]
             _, *statuses = await asyncio.gather(send_fatal(), *innocent)
-            assert len(crashing.crashed) <= MOST
+            assert len(crashing.crashed) <= MAX_CRASHED
             assert statuses.count(200) >= 58, "it may be at an endpoint's last place"
             for host in crashing.system.hosts:
-                held = host.guard.held()
-                assert len(held) == 1
+                quarantined = host.guard.held()
+                assert len(quarantined) == 1
 
         run_crashing(test, service=service)
 
-    def test_endpoints_that_end_in_a_row_by_themselves_condemn_none(self):
+    def test_crashes_with_other_causes_quarantine_no_request(self):
         async def test(crashing: CrashingSystem) -> None:
             hosts = itertools.cycle(crashing.system.hosts)
             is_over = False
 
-            async def end_endpoints() -> None:
+            async def crash_endpoints() -> None:
                 for _ in range(12):
                     await asyncio.sleep(0.15)
                     runners = crashing.system.runners.values()
@@ -139,13 +141,13 @@
                     max(alive, key=lambda runner: runner.working).crash()
 
             async def send_on(number: int) -> None:
-                # Half of them send what all others send as well.
+                # Half of the senders send the same request.
                 body = b"%d" % (number if number % 2 else 0)
                 while not is_over:
                     await crashing.send(next(hosts), body)
 
             senders = [asyncio.create_task(send_on(number)) for number in range(12)]
-            await end_endpoints()
+            await crash_endpoints()
             is_over = True
             await asyncio.gather(*senders)
             for host in crashing.system.hosts:
@@ -154,7 +156,7 @@
         run_crashing(test, service=ENGINE)
 
     @pytest.mark.parametrize("service", [ENGINE, LOOKUPS], ids=["stream", "call"])
-    def test_broken_connections_condemn_none(self, service):
+    def test_broken_connections_quarantine_no_request(self, service):
         async def test(crashing: CrashingSystem) -> None:
             for runner in crashing.system.runners.values():
                 runner.faults.break_after = 0
--- a/tests/test_endpoint_starts.py
+++ b/tests/test_endpoint_starts.py
@@ -1,7 +1,8 @@
-"""Endpoints that start again under the id that they had, and hold nothing of before.
+"""Endpoints that restart under the same id, and have lost the state of before.
 
-A crash and a start within a second leave the entry in place, changed: the same id,
-often the same address. What is held by the id alone is then held of the wrong start.
+A crash and restart within a second only change the entry of the endpoint. The id, and
+often the address, stay the same. State that is kept by the id alone would then apply to
+the wrong start.
 """
 
 import asyncio
@@ -41,8 +42,8 @@
     return EndpointStart(endpoint_id="a", incarnation=incarnation)
 
 
-class Known:
-    """A fleet and the book of what is registered."""
+class Registered:
+    """A fleet with its endpoint registry."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -59,10 +60,10 @@
             catalog=self.catalog,
             clock=self.clock,
             gone=self.fleet.forget,
-            came=self._meet,
+            came=self._record_start,
         )
 
-    def _meet(self, endpoint: Endpoint) -> None:
+    def _record_start(self, endpoint: Endpoint) -> None:
         self.came.append(endpoint.start)
         self.fleet.record_start(endpoint)
 
@@ -90,118 +91,118 @@
             (BORN, UNTOLD_START, False),
         ],
     )
-    def test_a_start_follows_another_only_where_both_are_told(
+    def test_a_start_follows_another_only_if_both_are_known(
         self, before, after, is_next
     ):
         assert start_of(before).is_followed_by(start_of(after)) is is_next
 
-    def test_the_time_of_its_start_is_read_from_its_entry(self):
+    def test_the_start_time_is_read_from_the_entry(self):
         spec = SPEC % b',"born":%d' % BORN
         assert decode_endpoint("a", spec).start == start_of(BORN)
 
-    def test_one_that_does_not_tell_its_start_is_used_all_the_same(self):
+    def test_an_entry_without_a_start_time_is_accepted(self):
         assert decode_endpoint("a", SPEC % b"").incarnation == UNTOLD_START
 
 
-class TestWhatWasLearned:
-    def test_a_new_start_is_not_shut_out_for_what_the_one_before_did(self):
-        known = Known()
-        known.put(BORN)
-        known.live.eject(known.clock.monotonic())
-        known.live.unanswered_calls = 2
-        known.put(BORN + 1)
-        assert not known.live.is_ejected
-        assert known.live.unanswered_calls == 0
-
-    def test_silence_is_learned_anew(self):
-        known = Known()
-        known.put(BORN)
-        before = known.live.limits_by_phase
-        known.put(BORN + 1)
-        assert known.live.limits_by_phase is not before
-
-    def test_its_end_shuts_only_that_start_out(self):
-        known = Known()
-        known.put(BORN)
-        known.live.record_ended()
-        assert known.live.view().state is EndpointState.DRAINING
-        known.put(BORN + 1)
-        assert known.live.view().state is EndpointState.ACTIVE
-
-    def test_also_where_its_entry_was_gone_meanwhile(self):
-        known = Known()
-        known.put(BORN)
-        known.live.enter()
-        known.live.eject(known.clock.monotonic())
-        known.registry.remove(["a"])
-        known.put(BORN + 1)
-        assert not known.live.is_ejected
-
-    def test_the_same_start_in_a_changed_entry_forgets_nothing(self):
-        known = Known()
-        known.put(BORN)
-        known.live.eject(known.clock.monotonic())
-        known.put(BORN, max_streams=3)
-        assert known.live.is_ejected
-        assert known.came == [start_of(BORN)]
-
-    def test_an_entry_without_a_start_is_of_the_one_that_is_known(self):
-        known = Known()
-        known.put(BORN)
-        known.put(UNTOLD_START, max_streams=3)
-        assert known.catalog.endpoints_by_id["a"].incarnation == BORN
-        assert known.catalog.endpoints_by_id["a"].max_streams == 3
+class TestStateAfterRestart:
+    def test_a_new_start_is_not_ejected_for_failures_of_the_previous_one(self):
+        registered = Registered()
+        registered.put(BORN)
+        registered.live.eject(registered.clock.monotonic())
+        registered.live.unanswered_calls = 2
+        registered.put(BORN + 1)
+        assert not registered.live.is_ejected
+        assert registered.live.unanswered_calls == 0
+
+    def test_silence_limits_are_reset(self):
+        registered = Registered()
+        registered.put(BORN)
+        before = registered.live.limits_by_phase
+        registered.put(BORN + 1)
+        assert registered.live.limits_by_phase is not before
+
+    def test_an_exit_only_applies_to_that_start(self):
+        registered = Registered()
+        registered.put(BORN)
+        registered.live.record_ended()
+        assert registered.live.view().state is EndpointState.DRAINING
+        registered.put(BORN + 1)
+        assert registered.live.view().state is EndpointState.ACTIVE
+
+    def test_the_state_is_reset_if_the_entry_was_removed_meanwhile(self):
+        registered = Registered()
+        registered.put(BORN)
+        registered.live.enter()
+        registered.live.eject(registered.clock.monotonic())
+        registered.registry.remove(["a"])
+        registered.put(BORN + 1)
+        assert not registered.live.is_ejected
+
+    def test_a_changed_entry_of_the_same_start_keeps_the_state(self):
+        registered = Registered()
+        registered.put(BORN)
+        registered.live.eject(registered.clock.monotonic())
+        registered.put(BORN, max_streams=3)
+        assert registered.live.is_ejected
+        assert registered.came == [start_of(BORN)]
+
+    def test_an_entry_without_a_start_belongs_to_the_known_start(self):
+        registered = Registered()
+        registered.put(BORN)
+        registered.put(UNTOLD_START, max_streams=3)
+        assert registered.catalog.endpoints_by_id["a"].incarnation == BORN
+        assert registered.catalog.endpoints_by_id["a"].max_streams == 3
 
     def test_an_earlier_start_changes_nothing(self):
-        known = Known()
-        known.put(BORN)
-        known.put(BORN - 1, url="http://127.0.0.1:2")
-        assert known.catalog.endpoints_by_id["a"].url == "http://127.0.0.1:1"
+        registered = Registered()
+        registered.put(BORN)
+        registered.put(BORN - 1, url="http://127.0.0.1:2")
+        assert registered.catalog.endpoints_by_id["a"].url == "http://127.0.0.1:1"
 
     @settings(deadline=None, derandomize=True)
     @given(st.lists(st.integers(0, 4), min_size=1))
-    def test_in_whatever_order_entries_come_the_newest_start_stays(self, incarnations):
-        known = Known()
+    def test_the_newest_start_wins_in_any_order_of_entries(self, incarnations):
+        registered = Registered()
         for incarnation in incarnations:
-            known.put(incarnation)
-        assert known.live.endpoint.incarnation == max(incarnations)
-        assert known.live.view().state is EndpointState.ACTIVE
-
-
-class TestWhatOthersTell:
-    def test_word_of_a_loss_does_not_shut_the_next_start_out(self):
-        known = Known()
-        known.put(BORN + 1)
-        known.fleet.record_peer_loss(start_of(BORN))
-        assert not known.live.is_ejected
-        known.fleet.record_peer_loss(start_of(BORN + 1))
-        assert known.live.is_ejected
-
-    def test_a_loss_is_told_with_its_start(self):
-        known = Known()
-        known.put(BORN)
-        known.fleet.record_loss(known.live, is_endpoint_unreachable=True)
-        assert known.fleet.pop_losses() == [start_of(BORN)]
-
-    def test_a_host_that_tells_no_start_is_believed(self):
+            registered.put(incarnation)
+        assert registered.live.endpoint.incarnation == max(incarnations)
+        assert registered.live.view().state is EndpointState.ACTIVE
+
+
+class TestUpdatesFromPeers:
+    def test_a_reported_loss_does_not_eject_the_next_start(self):
+        registered = Registered()
+        registered.put(BORN + 1)
+        registered.fleet.record_peer_loss(start_of(BORN))
+        assert not registered.live.is_ejected
+        registered.fleet.record_peer_loss(start_of(BORN + 1))
+        assert registered.live.is_ejected
+
+    def test_a_loss_is_reported_with_its_start(self):
+        registered = Registered()
+        registered.put(BORN)
+        registered.fleet.record_loss(registered.live, is_endpoint_unreachable=True)
+        assert registered.fleet.pop_losses() == [start_of(BORN)]
+
+    def test_a_loss_reported_without_a_start_counts(self):
         news = HostNews(host_id="h", loads_by_endpoint={}, lost=["a"])
         assert news.lost_starts() == [start_of(UNTOLD_START)]
-        known = Known()
-        known.put(BORN)
-        known.fleet.record_peer_loss(news.lost_starts()[0])
-        assert known.live.is_ejected
+        registered = Registered()
+        registered.put(BORN)
+        registered.fleet.record_peer_loss(news.lost_starts()[0])
+        assert registered.live.is_ejected
 
-    def test_loads_at_the_start_before_do_not_count(self):
+    def test_loads_at_the_previous_start_do_not_count(self):
         load_table = LoadTable()
         now = timedelta(0)
-        load_table.take("h1", {"a": TokenLoad(held=10, incarnation=BORN)}, now=now)
-        load_table.take("h2", {"a": TokenLoad(held=1, incarnation=BORN + 1)}, now=now)
+        load_table.update("h1", {"a": TokenLoad(held=10, incarnation=BORN)}, now=now)
+        load_table.update("h2", {"a": TokenLoad(held=1, incarnation=BORN + 1)}, now=now)
         assert load_table.load(start_of(BORN + 1)).held == 1
 
 
 class TestStreams:
-    def test_a_replica_at_the_start_before_is_replaced(self):
-        """Without it the next loss reads the prompt again, which takes a second."""
+    def test_a_replica_at_the_previous_start_is_replaced(self):
+        """Otherwise the next loss repeats the prefill, which takes a second."""
 
         async def test() -> None:
             world = World()
@@ -222,8 +223,8 @@
 
         run_virtually(test())
 
-    def test_a_stream_at_an_address_that_its_endpoint_left_goes_on_elsewhere(self):
-        """Nothing watched such a stream: it hung until its caller gave it up."""
+    def test_a_stream_at_a_former_address_of_its_endpoint_fails_over(self):
+        """A stream that is not checked there hangs until its caller gives up."""
 
         async def test() -> None:
             world = World()
@@ -250,7 +251,7 @@
 
 
 class TestOnThePlatform:
-    def test_an_endpoint_that_ended_serves_again_once_it_has_started_again(self):
+    def test_an_endpoint_that_has_exited_serves_again_after_a_restart(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config())
             runner = await system.add_runner("i-look", LOOKUPS)
@@ -258,17 +259,17 @@
             await system.wait_ready()
             entry = runner.entry(LOOKUPS)
             system.store.put("servers", "i-look", entry | {"born": BORN})
-            await known_start(host, "i-look", BORN)
+            await wait_for_start(host, "i-look", BORN)
             host.fleet.find("i-look").record_ended()
             assert (await system.send("/look/1")).status == 503
             system.store.put("servers", "i-look", entry | {"born": BORN + 900})
-            await known_start(host, "i-look", BORN + 900)
+            await wait_for_start(host, "i-look", BORN + 900)
             assert (await system.send("/look/1")).status == 200
 
         run(test)
 
-    def test_a_call_that_may_not_be_repeated_goes_on_no_connection_of_before(self):
-        """Its connection is dead, and a call that was sent on one may have run."""
+    def test_a_call_that_may_not_be_repeated_uses_no_connection_of_before(self):
+        """The old connection is dead, and a call sent on it counts as perhaps run."""
 
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config())
@@ -277,18 +278,18 @@
             await system.wait_ready()
             entry = runner.entry(LOOKUPS)
             system.store.put("servers", "i-look", entry | {"born": BORN})
-            await known_start(host, "i-look", BORN)
+            await wait_for_start(host, "i-look", BORN)
             assert (await system.send("/book/1")).status == 200
             opened = host.pool.opened
             system.store.put("servers", "i-look", entry | {"born": BORN + 900})
-            await known_start(host, "i-look", BORN + 900)
+            await wait_for_start(host, "i-look", BORN + 900)
             assert (await system.send("/book/2")).status == 200
             assert host.pool.opened == opened + 1
 
         run(test)
 
-    def test_streams_under_way_are_not_ended_by_news_of_a_start(self):
-        """They may have reached the new start before its entry told of it."""
+    def test_open_streams_are_not_failed_by_an_entry_with_a_new_start(self):
+        """They may have reached the new start before its entry arrived."""
 
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config())
@@ -300,7 +301,7 @@
                 await asyncio.sleep(0.005)
             entry = runner.entry(ENGINE)
             system.store.put("servers", "i-a", entry | {"born": BORN})
-            await known_start(host, "i-a", BORN)
+            await wait_for_start(host, "i-a", BORN)
             system.store.put("servers", "i-a", entry | {"born": BORN + 1})
             answer = await stream
             assert answer.is_whole
@@ -309,6 +310,6 @@
         run(test)
 
 
-async def known_start(host, name: str, incarnation: int) -> None:
+async def wait_for_start(host, name: str, incarnation: int) -> None:
     while host.fleet.start_of(name).incarnation != incarnation:
         await asyncio.sleep(0.01)
--- a/tests/test_failing_endpoints.py
+++ b/tests/test_failing_endpoints.py
@@ -1,8 +1,8 @@
-"""Endpoints for calls that take each call and fail it, while others of them are well.
+"""An endpoint that accepts calls and fails them, while others of its service work.
 
-The pattern: one of four resets each call that it has read, or answers each with an
-error. A call that may run only once is lost there, and a host sends most of its calls
-to the endpoint in its own failure domain.
+One of four endpoints resets the connection of each call that it has read, or answers
+with an error. A call that may only run once is lost there. Hosts in its failure domain
+lose the most, since a host sends most of its calls to the endpoint in its own domain.
 """
 
 import asyncio
@@ -32,14 +32,15 @@
 SERVICE = Service(id="s", kind=ServiceKind.PLAIN)
 HOSTS = 6
 ENDPOINTS = 4
-#: Calls a second that each host gets.
+#: Calls per second to each host.
 RATE = 2.0
-#: How long a call takes, in seconds.
-WORK = 0.045
-#: How long traffic lasts, in seconds.
+#: Duration of a call, in seconds.
+CALL_TIME = 0.045
+#: Duration of the traffic, in seconds.
 SECONDS = 30.0
 
-#: Fails a call at some time, or does not; gets the time and a random number below 1.
+#: Returns the failure of a call, if any, by its time in seconds and a random number
+#: below 1.
 Fault = Callable[[float, float], LossKind | int | None]
 
 
@@ -69,12 +70,12 @@
 
 @attrs.define(kw_only=True)
 class FaultySender:
-    """Endpoints that fail some calls, seen by one host.
+    """Sends one host's calls to endpoints that fail some of them.
 
     Attributes:
-        rng: Decides which calls fail.
-        faults: What each endpoint does wrong, by its id.
-        sent: When each call was sent, and where.
+        rng: Random source for the choice of calls that fail.
+        faults: The fault of each faulty endpoint, by its id.
+        sent: The time, call id and endpoint id of each call that was sent.
     """
 
     rng: random.Random
@@ -85,17 +86,17 @@
         now = asyncio.get_running_loop().time()
         name = live.endpoint.id
         self.sent.append((now, call.id, name))
-        await asyncio.sleep(WORK)
+        await asyncio.sleep(CALL_TIME)
         fault = self.faults.get(name, lambda now, luck: None)
-        result = fault(now, self.rng.random())
-        if isinstance(result, LossKind):
-            raise AttemptLostError(result, step="call", peer=name, detail="lost")
-        return PlainAnswer(status=result or 200, headers=CIMultiDict(), body=b"")
+        outcome = fault(now, self.rng.random())
+        if isinstance(outcome, LossKind):
+            raise AttemptLostError(outcome, step="call", peer=name, detail="lost")
+        return PlainAnswer(status=outcome or 200, headers=CIMultiDict(), body=b"")
 
 
 @attrs.define(kw_only=True)
 class Host:
-    """One host and what it sent."""
+    """One host, with a sender that records its calls."""
 
     sender: FaultySender
     fleet: Fleet
@@ -103,12 +104,12 @@
 
 
 @attrs.define(kw_only=True)
-class Seen:
-    """What callers saw and endpoints got.
+class TrafficResult:
+    """The answers to callers, and the calls that endpoints received.
 
     Attributes:
         hosts: The hosts.
-        statuses: How often callers got which status.
+        statuses: Number of answers to callers by status.
     """
 
     hosts: list[Host] = attrs.field(factory=list)
@@ -119,7 +120,7 @@
         return self.statuses[200] / self.statuses.total()
 
     def sends(self, *, after: float = 0.0) -> list[tuple[str, str]]:
-        """Return which calls were sent where after some second."""
+        """Return the call id and endpoint id of each call sent after a time."""
         return [
             (call, name)
             for host in self.hosts
@@ -128,19 +129,19 @@
         ]
 
     def arrivals(self, endpoint: str, *, after: float = 0.0) -> int:
-        """Return how many calls an endpoint got after some second."""
+        """Return the number of calls sent to an endpoint after a time, in seconds."""
         return sum(name == endpoint for _, name in self.sends(after=after))
 
     def failing(self) -> Counter[str]:
-        """Return how many hosts have put which endpoints out of use."""
+        """Return the number of hosts that have ejected each endpoint."""
         return Counter(
             endpoint
             for host in self.hosts
             for endpoint in host.fleet.list_failing(SERVICE.id)
         )
 
-    def most_sends(self) -> int:
-        """Return how often the call that was sent most often was sent."""
+    def max_sends(self) -> int:
+        """Return the maximum number of times that a single call was sent."""
         calls = Counter(call for call, _ in self.sends())
         return max(calls.values())
 
@@ -180,10 +181,10 @@
     seed: int = 1,
     endpoints: int = ENDPOINTS,
     rate: float = RATE,
-) -> Seen:
-    """Send calls that may run once from all hosts, and return what was seen."""
+) -> TrafficResult:
+    """Send calls that may only run once to all hosts, and return the result."""
 
-    async def ask(host: Host, call_id: str, seen: Seen) -> None:
+    async def ask(host: Host, call_id: str, result: TrafficResult) -> None:
         call = PlainCall(
             id=call_id,
             workspace="w",
@@ -198,13 +199,13 @@
         )
         try:
             answer = await host.caller.call(call)
-            seen.statuses[answer.status] += 1
+            result.statuses[answer.status] += 1
         except RefusedError as error:
             if error.failure.status == 502:
                 assert error.failure.outcome is Outcome.UNKNOWN
-            seen.statuses[error.failure.status] += 1
+            result.statuses[error.failure.status] += 1
 
-    async def send(number: int, seen: Seen, rng: random.Random) -> None:
+    async def send(number: int, result: TrafficResult, rng: random.Random) -> None:
         loop = asyncio.get_running_loop()
         async with asyncio.TaskGroup() as asks:
             while True:
@@ -212,10 +213,10 @@
                 if loop.time() >= SECONDS:
                     return
                 name = f"c{number}-{loop.time()}"
-                asks.create_task(ask(seen.hosts[number], name, seen))
+                asks.create_task(ask(result.hosts[number], name, result))
 
-    async def test() -> Seen:
-        seen = Seen(
+    async def test() -> TrafficResult:
+        result = TrafficResult(
             hosts=[
                 make_host(number, seed, faults, endpoints) for number in range(HOSTS)
             ]
@@ -223,181 +224,185 @@
         rng = random.Random(seed)
         async with asyncio.TaskGroup() as group:
             for number in range(HOSTS):
-                group.create_task(send(number, seen, random.Random(rng.random())))
-        return seen
+                group.create_task(send(number, result, random.Random(rng.random())))
+        return result
 
     return run_virtually(test())
 
 
 @pytest.mark.parametrize("seed", range(5))
 class TestOneEndpointFails:
-    """It gets a bounded share of the calls, and is used again once it is well.
+    """A failing endpoint gets few calls, and its share again once it has recovered.
 
-    Of 360 calls a quarter, 90, are its share.
+    Its share is a quarter of the calls, 90 of 360.
     """
 
     @pytest.mark.parametrize("fault", [reset, answer_500])
     def test_most_calls_go_to_its_neighbours(self, fault: Fault, seed: int):
-        seen = play({"e1": fault}, seed=seed)
-        assert seen.served > 0.9
-        assert seen.arrivals("e1", after=SECONDS / 2) <= 0.04 * seen.statuses.total()
+        result = play({"e1": fault}, seed=seed)
+        assert result.served > 0.9
+        assert (
+            result.arrivals("e1", after=SECONDS / 2) <= 0.04 * result.statuses.total()
+        )
 
-    def test_its_neighbour_alone_takes_them(self, seed: int):
+    def test_a_single_neighbour_takes_over_its_calls(self, seed: int):
         assert play({"e1": reset}, seed=seed, endpoints=2).served > 0.87
 
-    def test_one_that_fails_half_its_calls(self, seed: int):
+    def test_an_endpoint_that_fails_half_its_calls_is_ejected(self, seed: int):
         assert play({"e1": reset_part(0.5)}, seed=seed).served > 0.91
 
-    def test_it_is_used_again(self, seed: int):
-        seen = play({"e1": reset_until(5)}, seed=seed)
-        assert seen.served > 0.94
+    def test_it_is_used_again_after_recovery(self, seed: int):
+        result = play({"e1": reset_until(5)}, seed=seed)
+        assert result.served > 0.94
         baseline = play({}, seed=seed)
-        back = seen.arrivals("e1", after=15)
+        back = result.arrivals("e1", after=15)
         assert back > 0.7 * baseline.arrivals("e1", after=15)
 
-    def test_it_is_tried_at_once_where_it_is_the_last(self, seed: int):
+    def test_it_is_used_at_once_if_no_other_is_reachable(self, seed: int):
         faults = {"e0": unreachable_from(10), "e1": reset_until(8)}
-        seen = play(faults, seed=seed, endpoints=2)
-        calls = {call for call, _ in seen.sends(after=10)}
-        there = {call for call, name in seen.sends(after=10) if name == "e1"}
+        result = play(faults, seed=seed, endpoints=2)
+        calls = {call for call, _ in result.sends(after=10)}
+        there = {call for call, name in result.sends(after=10) if name == "e1"}
         assert len(there) > 0.95 * len(calls)
 
     def test_no_call_is_sent_twice(self, seed: int):
-        assert play({"e1": reset}, seed=seed).most_sends() == 1
+        assert play({"e1": reset}, seed=seed).max_sends() == 1
 
 
 def on_all(fault: Fault) -> Mapping[str, Fault]:
     return {f"e{number}": fault for number in range(ENDPOINTS)}
 
 
-def shares(seen: Seen) -> list[float]:
+def shares(result: TrafficResult) -> list[float]:
     """Return each endpoint's share of the calls."""
-    total = seen.statuses.total()
-    return [seen.arrivals(f"e{number}") / total for number in range(ENDPOINTS)]
+    total = result.statuses.total()
+    return [result.arrivals(f"e{number}") / total for number in range(ENDPOINTS)]
 
 
 @pytest.mark.parametrize("seed", range(5))
 class TestAllFailAlike:
-    """What hits all endpoints alike puts none out of use."""
+    """A fault that affects all endpoints alike ejects none."""
 
     @pytest.mark.parametrize("fault", [reset, answer_500])
-    def test_all_of_a_service(self, fault: Fault, seed: int):
-        seen = play(on_all(fault), seed=seed)
-        assert not seen.failing()
-        assert seen.statuses[200] == 0
-        assert seen.statuses[503] == 0
-        assert min(shares(seen)) > 0.15
-
-    def test_a_cut_that_ends(self, seed: int):
-        seen = play(on_all(reset_until(5)), seed=seed)
-        assert not seen.failing()
-        during = len(seen.sends()) - len(seen.sends(after=5))
-        assert seen.statuses[502] == during
-        assert seen.statuses[200] == seen.statuses.total() - during
-
-    def test_calls_that_were_given_too_little_time(self, seed: int):
-        seen = play({"e1": answer_504}, seed=seed)
-        assert not seen.failing()
+    def test_a_fault_of_all_endpoints_ejects_none(self, fault: Fault, seed: int):
+        result = play(on_all(fault), seed=seed)
+        assert not result.failing()
+        assert result.statuses[200] == 0
+        assert result.statuses[503] == 0
+        assert min(shares(result)) > 0.15
+
+    def test_a_temporary_network_cut_ejects_none(self, seed: int):
+        result = play(on_all(reset_until(5)), seed=seed)
+        assert not result.failing()
+        during = len(result.sends()) - len(result.sends(after=5))
+        assert result.statuses[502] == during
+        assert result.statuses[200] == result.statuses.total() - during
+
+    def test_calls_with_too_short_deadlines_eject_none(self, seed: int):
+        result = play({"e1": answer_504}, seed=seed)
+        assert not result.failing()
         baseline = play({}, seed=seed)
-        assert seen.arrivals("e1") == baseline.arrivals("e1")
+        assert result.arrivals("e1") == baseline.arrivals("e1")
 
-    def test_at_most_half_are_put_out_of_use(self, seed: int):
+    def test_at_most_half_of_the_endpoints_are_ejected(self, seed: int):
         faults = {"e0": reset, "e1": reset, "e2": reset}
-        seen = play(faults, seed=seed)
-        for host in seen.hosts:
+        result = play(faults, seed=seed)
+        for host in result.hosts:
             assert len(host.fleet.list_failing(SERVICE.id)) <= ENDPOINTS / 2
-        assert seen.statuses[503] == 0
+        assert result.statuses[503] == 0
 
-    def test_the_only_endpoint_is_used_on(self, seed: int):
-        seen = play({"e0": reset_until(5)}, seed=seed, endpoints=1)
-        assert not seen.failing()
-        assert seen.statuses[503] == 0
-        assert seen.served > 0.75
+    def test_the_only_endpoint_stays_in_use(self, seed: int):
+        result = play({"e0": reset_until(5)}, seed=seed, endpoints=1)
+        assert not result.failing()
+        assert result.statuses[503] == 0
+        assert result.served > 0.75
 
 
-def note(record: CallRecord, name: str, results: str, *, at: float = 0.0) -> None:
-    """Note answers: ``x`` for a failure, ``.`` for none."""
+def add_results(
+    record: CallRecord, name: str, results: str, *, at: float = 0.0
+) -> None:
+    """Add results to a record: ``x`` for a failure, ``.`` for a success."""
     for result in results:
         now = timedelta(seconds=at)
-        record.note(name, is_failure=result == "x", now=now)
+        record.add(name, is_failure=result == "x", now=now)
 
 
-def is_failing(record: CallRecord, name: str, *, at: float = 0.0, left_out=()) -> bool:
+def is_failing(record: CallRecord, name: str, *, at: float = 0.0, excluded=()) -> bool:
     now = timedelta(seconds=at)
-    return record.is_failing(name, left_out=left_out, now=now)
+    return record.is_failing(name, excluded=excluded, now=now)
 
 
 class TestCallRecord:
-    def test_one_failure_is_chance(self):
+    def test_one_failure_is_not_enough(self):
         record = CallRecord()
-        note(record, "a", "x")
-        note(record, "b", ".")
+        add_results(record, "a", "x")
+        add_results(record, "b", ".")
         assert not is_failing(record, "a")
 
-    def test_two_in_a_row_are_not_where_a_neighbour_answers(self):
+    def test_two_failures_in_a_row_suffice_if_a_neighbour_succeeds(self):
         record = CallRecord()
-        note(record, "a", "x")
-        note(record, "b", ".")
-        note(record, "a", "x")
+        add_results(record, "a", "x")
+        add_results(record, "b", ".")
+        add_results(record, "a", "x")
         assert is_failing(record, "a")
         assert not is_failing(record, "b")
 
-    def test_without_a_neighbours_answer_this_host_may_be_at_fault(self):
+    def test_without_a_success_of_a_neighbour_the_host_may_be_at_fault(self):
         record = CallRecord()
-        note(record, "b", "..")
-        note(record, "a", "xxxxxx")
+        add_results(record, "b", "..")
+        add_results(record, "a", "xxxxxx")
         assert not is_failing(record, "a")
-        note(record, "b", "x")
+        add_results(record, "b", "x")
         assert not is_failing(record, "a")
 
-    def test_what_failed_among_many_that_did_not_is_chance(self):
+    def test_rare_failures_are_not_enough(self):
         record = CallRecord()
-        note(record, "a", "x")
-        note(record, "b", "." * 20)
-        note(record, "a", "." * 20 + "x")
+        add_results(record, "a", "x")
+        add_results(record, "b", "." * 20)
+        add_results(record, "a", "." * 20 + "x")
         assert not is_failing(record, "a")
 
-    def test_neighbours_that_fail_as_often(self):
+    def test_an_endpoint_is_not_failing_if_neighbours_fail_as_often(self):
         record = CallRecord()
-        note(record, "a", "x")
-        note(record, "b", "x.x")
-        note(record, "a", "x.x")
+        add_results(record, "a", "x")
+        add_results(record, "b", "x.x")
+        add_results(record, "a", "x.x")
         assert not is_failing(record, "a")
 
-    def test_a_neighbour_that_is_known_to_fail_says_nothing(self):
+    def test_neighbours_known_to_fail_are_not_compared_with(self):
         record = CallRecord()
-        note(record, "a", "x")
-        note(record, "b", "xxxx")
-        note(record, "c", "..")
-        note(record, "a", "x")
+        add_results(record, "a", "x")
+        add_results(record, "b", "xxxx")
+        add_results(record, "c", "..")
+        add_results(record, "a", "x")
         assert not is_failing(record, "a")
-        assert is_failing(record, "a", left_out={"b"})
+        assert is_failing(record, "a", excluded={"b"})
 
     def test_old_failures_are_forgotten(self):
         record = CallRecord()
         later = SPAN.total_seconds() + 1
-        note(record, "a", "x")
-        note(record, "b", ".", at=later)
-        note(record, "a", "x", at=later)
+        add_results(record, "a", "x")
+        add_results(record, "b", ".", at=later)
+        add_results(record, "a", "x", at=later)
         assert not is_failing(record, "a", at=later)
 
-    def test_it_remembers_so_many(self):
+    def test_the_number_of_remembered_answers_is_bounded(self):
         record = CallRecord()
-        note(record, "a", "x")
-        note(record, "b", "." * MAX_ANSWERS)
-        note(record, "a", "x")
+        add_results(record, "a", "x")
+        add_results(record, "b", "." * MAX_ANSWERS)
+        add_results(record, "a", "x")
         assert not is_failing(record, "a")
 
 
 class TestOverConnections:
-    """The same with a host before endpoints that it reaches over connections."""
+    """The same with a real host and endpoints over connections."""
 
     CALLS = 80
 
     @pytest.mark.parametrize(
         "faults", [{"lose_answers": 10**6}, {"own_status": 500}, {"no_proof": True}]
     )
-    def test_one_that_fails_each_call_gets_few(self, faults: dict[str, int]):
+    def test_an_endpoint_that_fails_all_calls_gets_few(self, faults: dict[str, int]):
         async def test(system: PlatformSystem) -> None:
             await self._start(system)
             bad = system.runners["i-1"]
@@ -407,7 +412,7 @@
             answers = [await system.send("/book/1") for _ in range(self.CALLS)]
             took = time.monotonic() - began
             served = sum(answer.status == 200 for answer in answers)
-            # Two show that it fails; it is tried again a second later at the soonest.
+            # Two failures eject it, and it is tried again after at least a second.
             assert len(bad.ran) <= 2 + took
             assert served == self.CALLS - len(bad.ran)
             ran = [name for item in system.runners.values() for name in item.ran]
@@ -415,7 +420,7 @@
 
         run(test)
 
-    def test_all_that_lose_answers_at_once_are_used_on(self):
+    def test_all_endpoints_stay_in_use_if_all_lose_answers(self):
         async def test(system: PlatformSystem) -> None:
             await self._start(system)
             runners = system.runners.values()
@@ -432,7 +437,7 @@
         run(test)
 
     async def _start(self, system: PlatformSystem) -> None:
-        """Start a host before some endpoints."""
+        """Start a host and the endpoints of a service."""
         system.store.put("config", "main", make_config())
         for number in range(ENDPOINTS):
             await system.add_runner(f"i-{number}", LOOKUPS)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What a host believes of an endpoint's load."""
+"""Load estimates, silence limits, and detection of stalls of the local host."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -11,7 +11,7 @@
 from passtally.departures import Departures
 from passtally.engine import LoadReport
 from passtally.live_endpoint import (
-    GOING_ON,
+    FAILOVER_RESERVE,
     LagMeter,
     LiveEndpoint,
     StreamGuard,
@@ -32,7 +32,7 @@
 
 
 class TestLiveEndpoint:
-    def test_a_lagging_report_of_ones_own_requests_is_not_taken_for_others(self):
+    def test_a_lagging_report_of_own_requests_does_not_count_as_others(self):
         clock = ManualClock()
         live = make_live(clock)
         for _ in range(40):
@@ -50,7 +50,7 @@
         live.update_report(LoadReport(running=5, queued=2, step=1))
         assert live.view().taken == 7
 
-    def test_long_gone_requests_of_ones_own_are_forgotten(self):
+    def test_own_requests_that_ended_long_ago_do_not_hide_others(self):
         clock = ManualClock()
         live = make_live(clock)
         live.enter()
@@ -63,62 +63,62 @@
 class TestStreamGuard:
     SECOND = timedelta(seconds=1)
 
-    def test_a_first_output_is_waited_for_by_what_was_read_before_it(self):
+    def test_the_limit_of_the_first_output_depends_on_the_prefill_ahead(self):
         guard = StreamGuard(
             quiet_since=timedelta(0), first_limit=lambda tokens: tokens * self.SECOND
         )
         guard.max_prefill_tokens = 7
         assert guard.stuck_after(self.SECOND) == 7 * self.SECOND
 
-    def test_where_nothing_is_known_the_endpoints_own_limit_holds(self):
+    def test_without_a_forecast_the_limit_of_the_endpoint_applies(self):
         guard = StreamGuard(quiet_since=timedelta(0))
         assert guard.stuck_after(self.SECOND) == self.SECOND
 
-    def test_a_pause_may_last_as_long_as_its_caller_allows(self):
-        usual = timedelta(milliseconds=420)
+    def test_a_pause_may_last_as_long_as_the_caller_allows(self):
+        endpoint_limit = timedelta(milliseconds=420)
         guard = StreamGuard(quiet_since=timedelta(0), max_gap=2 * self.SECOND)
         guard.seen_reads = 1
-        assert guard.stuck_after(usual) == 2 * self.SECOND - GOING_ON
-        guard.max_gap = usual
-        assert guard.stuck_after(usual) == usual
+        assert guard.stuck_after(endpoint_limit) == 2 * self.SECOND - FAILOVER_RESERVE
+        guard.max_gap = endpoint_limit
+        assert guard.stuck_after(endpoint_limit) == endpoint_limit
         guard.max_gap = None
-        assert guard.stuck_after(usual) == usual
+        assert guard.stuck_after(endpoint_limit) == endpoint_limit
 
 
 @pytest.fixture
-def pauses() -> Iterator[list[dict[str, Any]]]:
-    """The lines so far that tell of pauses of this host."""
+def stalls() -> Iterator[list[dict[str, Any]]]:
+    """The log lines so far that report stalls of this host."""
     found: list[dict[str, Any]] = []
 
-    def note(message: dict[str, Any]) -> None:
-        if message.get("message") == "host: Did not run in time.":
+    def collect(message: dict[str, Any]) -> None:
+        if message.get("message") == "host: Event loop stalled.":
             found.append(message)
 
-    add_destinations(note)
-    # The first destination of a process is handed what was logged before.
+    add_destinations(collect)
+    # Eliot replays earlier messages to the first destination of a process.
     found.clear()
     yield found
-    remove_destination(note)
+    remove_destination(collect)
 
 
-class TestOwnPauses:
+class TestOwnStalls:
     MILLISECOND = timedelta(milliseconds=1)
 
-    def test_a_pause_of_this_host_is_told_with_its_length(self, pauses):
+    def test_a_stall_is_logged_with_its_length(self, stalls):
         lag = LagMeter(clock=ManualClock())
         lag.tick(40 * self.MILLISECOND)
-        assert not pauses
+        assert not stalls
         lag.tick(230 * self.MILLISECOND)
-        (line,) = pauses
+        (line,) = stalls
         assert line["late_ms"] == 230
 
-    def test_of_pauses_in_a_row_the_first_is_told(self, pauses):
+    def test_only_the_first_of_consecutive_stalls_is_logged(self, stalls):
         clock = ManualClock()
         lag = LagMeter(clock=clock)
         for _ in range(3):
             lag.tick(230 * self.MILLISECOND)
             clock.advance(50 * self.MILLISECOND)
-        assert len(pauses) == 1
+        assert len(stalls) == 1
         clock.advance(timedelta(seconds=1))
         lag.tick(230 * self.MILLISECOND)
-        assert len(pauses) == 2
+        assert len(stalls) == 2
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of loads; how budgets are divided among them."""
+"""Exchange of loads between hosts, the roster, and the choice of links."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -26,50 +26,52 @@
 A = EndpointStart(endpoint_id="a")
 
 
-class TestLoadBoard:
+class TestLoadTable:
     def test_loads_of_all_hosts_add_up(self):
         load_table = LoadTable()
-        load_table.take("h1", {"a": TokenLoad(held=10, reading=5, running=2)}, now=NOW)
-        load_table.take(
+        load_table.update(
+            "h1", {"a": TokenLoad(held=10, reading=5, running=2)}, now=NOW
+        )
+        load_table.update(
             "h2", {"a": TokenLoad(held=1, running=1), "b": TokenLoad(held=7)}, now=NOW
         )
         assert load_table.load(A) == TokenLoad(held=11, reading=5, running=3)
         assert load_table.load(EndpointStart(endpoint_id="b")) == TokenLoad(held=7)
         assert load_table.load(EndpointStart(endpoint_id="c")) == TokenLoad()
 
-    def test_newer_news_replaces_older(self):
+    def test_a_newer_update_replaces_an_older_one(self):
         load_table = LoadTable()
-        load_table.take("h1", {"a": TokenLoad(held=10)}, now=NOW)
-        load_table.take("h1", {}, now=NOW)
+        load_table.update("h1", {"a": TokenLoad(held=10)}, now=NOW)
+        load_table.update("h1", {}, now=NOW)
         assert load_table.load(A) == TokenLoad()
 
-    def test_a_host_that_is_silent_is_forgotten(self):
+    def test_loads_of_a_silent_host_expire(self):
         load_table = LoadTable()
-        load_table.take("h1", {"a": TokenLoad(held=10)}, now=NOW)
-        load_table.take("h2", {"a": TokenLoad(held=1)}, now=NOW + FORGET_AFTER)
-        load_table.forget_old(NOW + FORGET_AFTER + timedelta(milliseconds=1))
+        load_table.update("h1", {"a": TokenLoad(held=10)}, now=NOW)
+        load_table.update("h2", {"a": TokenLoad(held=1)}, now=NOW + FORGET_AFTER)
+        load_table.remove_expired(NOW + FORGET_AFTER + timedelta(milliseconds=1))
         assert load_table.load(A) == TokenLoad(held=1)
 
 
-class NewsNet:
-    """Hosts that tell each other news; links may be down."""
+class ExchangeNetwork:
+    """Hosts that exchange loads; links between them may be down."""
 
     def __init__(self) -> None:
         self.clock = VirtualClock()
-        self.hosts: dict[str, NewsHost] = {}
+        self.hosts: dict[str, ExchangeHost] = {}
         self.down: set[frozenset[str]] = set()
         self.sent = 0
 
-    def add(self, name: str) -> "NewsHost":
-        """Start a host, or start one anew."""
-        host = self.hosts[name] = NewsHost(name, self)
+    def add(self, name: str) -> "ExchangeHost":
+        """Start or restart a host."""
+        host = self.hosts[name] = ExchangeHost(name, self)
         return host
 
 
-class NewsHost:
-    """One host: the fleet, the roster and the links that its exchange asks."""
+class ExchangeHost:
+    """One host, in place of the fleet, the roster and the links of its exchange."""
 
-    def __init__(self, name: str, net: NewsNet) -> None:
+    def __init__(self, name: str, net: ExchangeNetwork) -> None:
         self.name = name
         self.net = net
         self.load_changed = asyncio.Event()
@@ -105,7 +107,7 @@
         ]
 
     def listen(self, kind: type, listener: Callable[[HostNews], None]) -> None:
-        self.hear = listener
+        self.receive = listener
 
     async def send_message(self, host_ids: Sequence[str], news: HostNews) -> set[str]:
         up = {
@@ -115,63 +117,63 @@
         }
         for name in up:
             self.net.sent += 1
-            self.net.hosts[name].hear(news)
+            self.net.hosts[name].receive(news)
         return up
 
 
-class TestNewsExchange:
-    SOON = 2 * CATCH_UP_INTERVAL
+class TestLoadExchange:
+    CATCH_UP_TIME = 2 * CATCH_UP_INTERVAL
 
-    def play(self, test: Callable[[NewsNet], Awaitable[None]]) -> None:
+    def play(self, test: Callable[[ExchangeNetwork], Awaitable[None]]) -> None:
         async def main() -> None:
-            net = NewsNet()
+            net = ExchangeNetwork()
             await test(net)
             for host in net.hosts.values():
                 host.task.cancel()
 
         run_virtually(main())
 
-    def test_a_change_is_told_to_all(self):
-        async def test(net: NewsNet) -> None:
+    def test_a_change_is_sent_to_all(self):
+        async def test(net: ExchangeNetwork) -> None:
             first, second = net.add("h1"), net.add("h2")
             first.put(a=10)
-            await net.clock.sleep(self.SOON)
+            await net.clock.sleep(self.CATCH_UP_TIME)
             assert second.load_table.load(A) == TokenLoad(held=10)
 
         self.play(test)
 
-    def test_a_host_that_was_cut_off_is_told_soon_after(self):
-        async def test(net: NewsNet) -> None:
+    def test_a_host_that_was_cut_off_catches_up(self):
+        async def test(net: ExchangeNetwork) -> None:
             first, second = net.add("h1"), net.add("h2")
-            await net.clock.sleep(self.SOON)
+            await net.clock.sleep(self.CATCH_UP_TIME)
             net.down.add(frozenset(("h1", "h2")))
             first.put(a=10)
             await net.clock.sleep(timedelta(seconds=6))
             assert second.load_table.load(A) == TokenLoad()
             net.down.clear()
-            await net.clock.sleep(self.SOON)
+            await net.clock.sleep(self.CATCH_UP_TIME)
             assert second.load_table.load(A) == TokenLoad(held=10)
 
         self.play(test)
 
-    def test_a_host_that_started_anew_is_told_soon_after(self):
-        async def test(net: NewsNet) -> None:
+    def test_a_host_that_restarts_catches_up(self):
+        async def test(net: ExchangeNetwork) -> None:
             first = net.add("h1")
             net.add("h2")
             first.put(a=10)
-            await net.clock.sleep(self.SOON)
+            await net.clock.sleep(self.CATCH_UP_TIME)
             net.hosts["h2"].task.cancel()
             again = net.add("h2")
-            await net.clock.sleep(self.SOON)
+            await net.clock.sleep(self.CATCH_UP_TIME)
             assert again.load_table.load(A) == TokenLoad(held=10)
 
         self.play(test)
 
-    def test_what_does_not_change_is_told_seldom(self):
-        async def test(net: NewsNet) -> None:
+    def test_unchanged_loads_are_sent_rarely(self):
+        async def test(net: ExchangeNetwork) -> None:
             net.add("h1").put(a=10)
             net.add("h2")
-            await net.clock.sleep(self.SOON)
+            await net.clock.sleep(self.CATCH_UP_TIME)
             before = net.sent
             await net.clock.sleep(timedelta(seconds=10))
             assert net.sent - before <= 5
@@ -180,7 +182,7 @@
 
 
 class FakeLinks:
-    """The links to peers, without any network."""
+    """Links to peers without a network."""
 
     def __init__(self) -> None:
         self.peers: dict[str, PeerAddress] = {}
@@ -212,7 +214,7 @@
 
 
 def lose(table: MemberTable, clock: ManualClock, *host_ids: str) -> None:
-    """Let hosts not answer for so long that they count as gone."""
+    """Suspect hosts for ``SUSPECT_FOR``, after which they count as dead."""
     for host_id in host_ids:
         table.suspect(host_id, clock.monotonic())
     clock.advance(SUSPECT_FOR)
@@ -220,7 +222,7 @@
 
 
 class TestRoster:
-    def test_seeds_are_dialled_until_their_names_are_known(self):
+    def test_seeds_are_dialled_until_their_host_ids_are_known(self):
         roster, table, links, clock = make_roster("10.0.0.1:1", "10.0.0.2:1")
         roster.link_seeds()
         assert links.ids == ["seed-10.0.0.2:1"]
@@ -229,7 +231,7 @@
         roster.update_links()
         assert links.ids == ["other"]
 
-    def test_where_all_are_gone_the_seeds_are_tried_and_one_host_of_each_domain(self):
+    def test_if_all_are_dead_the_seeds_and_a_host_of_each_domain_are_tried(self):
         roster, table, links, clock = make_roster("10.0.0.9:1")
         rows = [
             MemberRow(f"h{number}", domain, 5, 0, False, f"10.0.0.{number}:1")
@@ -243,7 +245,7 @@
         assert sorted(links.ids) == ["h3", "h4", "seed-10.0.0.9:1"]
         assert roster.linked() == []
 
-    def test_the_peak_is_kept_when_hosts_go_out_of_reach(self):
+    def test_the_peak_is_kept_when_hosts_become_unreachable(self):
         roster, table, _, clock = make_roster()
         for number in range(4):
             row = MemberRow(
@@ -265,11 +267,11 @@
 
 
 class TestLinks:
-    def test_few_hosts_all_link_to_each_other(self):
+    def test_a_few_hosts_all_link_to_each_other(self):
         own, *others = make_rows(MAX_LINKS)
         assert choose_links(own, others) == others
 
-    def test_among_many_a_host_links_to_a_bounded_number(self):
+    def test_in_a_large_fleet_a_host_has_a_bounded_number_of_links(self):
         rows = make_rows(330, "abcdef")
         for own in rows[::50]:
             others = [row for row in rows if row is not own]
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What is known of requests under which endpoints ended, and how hosts hear of it."""
+"""Counting of crashes by request, quarantine, and its exchange between hosts."""
 
 import asyncio
 import random
@@ -19,11 +19,11 @@
 from passtally.outcome import Outcome, RefusedError
 from passtally.quarantine import (
     MAX_CRASHES,
-    MAX_NAMED,
+    MAX_RECORDED_STARTS,
     MAX_SUSPECTS,
     MAX_TRUSTED,
     RETENTION_TIME,
-    TRUSTED_FOR,
+    TRUST_TIME,
     Quarantine,
 )
 from passtally.quarantine_exchange import MAX_ROWS, QuarantineExchange
@@ -32,7 +32,7 @@
 
 NOW = timedelta(hours=1)
 REQUEST = b"request"
-#: The users count a host as in touch after so long without trouble.
+#: Time in seconds after a fault within which a host must be up to date again.
 IN_TOUCH = 3.0
 
 
@@ -51,13 +51,13 @@
             st.tuples(st.text(max_size=3), st.binary(max_size=3), st.binary(max_size=3))
         )
     )
-    def test_no_two_requests_share_one(self, requests):
+    def test_different_requests_have_different_fingerprints(self, requests):
         found = {fingerprint_of(*request) for request in requests}
         assert len(found) == len(set(requests))
 
 
 class TestVerdict:
-    def test_it_is_refused_after_so_many_ends(self):
+    def test_a_request_is_quarantined_after_max_crashes(self):
         quarantine = Quarantine()
         for number in range(MAX_CRASHES):
             assert quarantine.remaining(REQUEST, now=NOW) is None
@@ -65,34 +65,34 @@
         assert quarantine.remaining(REQUEST, now=NOW) == RETENTION_TIME
         assert quarantine.remaining(b"another", now=NOW) is None
 
-    def test_the_end_of_one_start_counts_once(self):
+    def test_the_crash_of_one_start_counts_once(self):
         quarantine = Quarantine()
         crash(quarantine, *[1] * 9)
         assert quarantine.remaining(REQUEST, now=NOW) is None
 
-    def test_starts_under_one_id_count_each(self):
+    def test_each_start_of_an_endpoint_counts(self):
         quarantine = Quarantine()
         for incarnation in range(MAX_CRASHES):
             quarantine.record_crash(REQUEST, start(1, incarnation), now=NOW)
         assert quarantine.remaining(REQUEST, now=NOW)
 
-    def test_a_good_end_clears_it_of_all_ends_before(self):
+    def test_a_success_clears_all_earlier_crashes(self):
         quarantine = Quarantine()
         crash(quarantine, 1, 2)
         quarantine.record_success(REQUEST, now=NOW)
-        later = NOW + TRUSTED_FOR + timedelta(seconds=1)
+        later = NOW + TRUST_TIME + timedelta(seconds=1)
         crash(quarantine, 3, 4, now=later)
         assert quarantine.remaining(REQUEST, now=later) is None
         crash(quarantine, 5, now=later)
         assert quarantine.remaining(REQUEST, now=later)
 
-    def test_what_ended_well_a_moment_ago_ends_nothing(self):
+    def test_no_crash_counts_shortly_after_a_success(self):
         quarantine = Quarantine()
         quarantine.record_success(REQUEST, now=NOW)
-        crash(quarantine, *range(9), now=NOW + TRUSTED_FOR)
-        assert quarantine.remaining(REQUEST, now=NOW + TRUSTED_FOR) is None
+        crash(quarantine, *range(9), now=NOW + TRUST_TIME)
+        assert quarantine.remaining(REQUEST, now=NOW + TRUST_TIME) is None
 
-    def test_it_lapses_after_the_last_end(self):
+    def test_a_quarantine_expires_after_the_last_crash(self):
         quarantine = Quarantine()
         crash(quarantine, 1, 2, 3)
         assert (
@@ -105,16 +105,16 @@
         crash(quarantine, 4, now=later)
         assert quarantine.remaining(REQUEST, now=later) is None
 
-    def test_an_operator_can_lift_it(self):
+    def test_an_operator_can_lift_a_quarantine(self):
         quarantine = Quarantine()
         crash(quarantine, 1, 2, 3)
         assert quarantine.lift(REQUEST)
         assert quarantine.remaining(REQUEST, now=NOW) is None
         assert not quarantine.lift(REQUEST)
         crash(quarantine, 1, 2, 3, 4, 5)
-        assert quarantine.remaining(REQUEST, now=NOW) is None, "two since then"
+        assert quarantine.remaining(REQUEST, now=NOW) is None, "only two new ones"
 
-    def test_what_is_remembered_is_bounded(self):
+    def test_the_memory_is_bounded(self):
         quarantine = Quarantine()
         for number in range(2 * MAX_TRUSTED):
             fingerprint = number.to_bytes(4)
@@ -122,10 +122,10 @@
             if number < 2 * MAX_SUSPECTS:
                 fingerprint = b"s" + fingerprint
                 quarantine.record_crash(fingerprint, start(1), now=NOW)
-        crash(quarantine, *range(2 * MAX_NAMED))
+        crash(quarantine, *range(2 * MAX_RECORDED_STARTS))
         rows = quarantine.rows(now=NOW)
         assert len(quarantine._suspects) == MAX_SUSPECTS
-        assert [len(row.crashed) for row in rows] == [MAX_NAMED]
+        assert [len(row.crashed) for row in rows] == [MAX_RECORDED_STARTS]
         assert len(quarantine._trusted_at) == MAX_TRUSTED
 
 
@@ -137,7 +137,7 @@
 
 class TestMerging:
     @given(EVENTS, st.randoms(use_true_random=False))
-    def test_all_hosts_agree_once_all_was_told_in_whatever_order(self, events, rng):
+    def test_all_hosts_agree_after_all_updates_in_any_order(self, events, rng):
         hosts = [Quarantine() for _ in range(3)]
         sent: list[CrashRow] = []
         for number, (at, event) in enumerate(events):
@@ -145,7 +145,7 @@
                 hosts[at].record_crash(REQUEST, start(number % 7), now=NOW)
             elif event == "lift":
                 hosts[at].lift(REQUEST)
-            sent += hosts[at].pop_updates(9, now=NOW, told_before=NOW)
+            sent += hosts[at].pop_updates(9, now=NOW, sent_before=NOW)
         sent *= 2
         for host in hosts:
             rng.shuffle(sent)
@@ -157,7 +157,7 @@
         ]
         assert known[0] == known[1] == known[2]
 
-    def test_a_host_where_it_ended_well_clears_what_others_count(self):
+    def test_a_success_at_one_host_clears_crashes_at_others(self):
         here, there = Quarantine(), Quarantine()
         here.record_success(REQUEST, now=NOW)
         crash(there, 1, 2, 3)
@@ -168,14 +168,14 @@
         assert here.remaining(REQUEST, now=NOW) is None
         assert there.remaining(REQUEST, now=NOW) is None
 
-    def test_how_long_ago_it_was_is_told(self):
+    def test_the_age_of_a_crash_is_sent(self):
         here, there = Quarantine(), Quarantine()
         crash(here, 1, 2, 3)
         [row] = here.rows(now=NOW + RETENTION_TIME / 2)
         there.merge(row, now=timedelta(days=9))
         assert there.remaining(REQUEST, now=timedelta(days=9)) == RETENTION_TIME / 2
 
-    def test_what_is_too_old_is_not_taken(self):
+    def test_expired_rows_are_ignored(self):
         row = CrashRow(
             fingerprint=REQUEST, crashed=["a/0"], cleared=[], age_ms=10_000_000
         )
@@ -183,43 +183,45 @@
         assert quarantine.merge(row, now=NOW) is None
         assert quarantine.rows(now=NOW) == []
 
-    def test_news_goes_first_and_a_part_at_a_time(self):
+    def test_urgent_updates_go_first_and_in_batches(self):
         quarantine = Quarantine()
         for number in range(3 * MAX_ROWS):
             quarantine.record_crash(number.to_bytes(4), start(1), now=NOW)
         crash(quarantine, 1, 2)
-        rows = quarantine.pop_updates(MAX_ROWS, now=NOW, told_before=NOW)
+        rows = quarantine.pop_updates(MAX_ROWS, now=NOW, sent_before=NOW)
         assert len(rows) == MAX_ROWS
         assert rows[0].fingerprint == REQUEST
         while quarantine.has_updates:
-            assert quarantine.pop_updates(MAX_ROWS, now=NOW, told_before=NOW)
+            assert quarantine.pop_updates(MAX_ROWS, now=NOW, sent_before=NOW)
         later = NOW + timedelta(seconds=5)
-        again = quarantine.pop_updates(MAX_ROWS, now=later, told_before=NOW)
-        assert [row.fingerprint for row in again] == [REQUEST], "the others ended one"
+        again = quarantine.pop_updates(MAX_ROWS, now=later, sent_before=NOW)
+        assert [row.fingerprint for row in again] == [REQUEST], "others have 1 crash"
 
 
 class LiveStandIn:
-    """An endpoint as the guard sees it."""
+    """The part of a live endpoint that the crash guard uses."""
 
-    def __init__(self, number: int, *, has_served_one: bool = False) -> None:
+    def __init__(self, number: int, *, had_at_most_one_request: bool = False) -> None:
         class _Endpoint:
             id = f"e{number}"
             start = EndpointStart(endpoint_id=f"e{number}")
 
         self.endpoint = _Endpoint
-        self.has_served_one = has_served_one
+        self.had_at_most_one_request = had_at_most_one_request
 
 
 class TestGuard:
     def make(self) -> CrashGuard:
         self.clock = ManualClock()
         self.clock.advance(NOW)
-        self.held: list[bytes] = []
+        self.quarantined: list[bytes] = []
         return CrashGuard(
-            quarantine=Quarantine(), clock=self.clock, on_quarantined=self.held.append
+            quarantine=Quarantine(),
+            clock=self.clock,
+            on_quarantined=self.quarantined.append,
         )
 
-    def test_it_is_refused_as_not_run_with_the_time_to_come_back(self):
+    def test_a_quarantined_request_is_refused_as_not_run_with_retry_after(self):
         guard = self.make()
         for number in range(MAX_CRASHES):
             guard.check(REQUEST, service="s")
@@ -229,9 +231,9 @@
         failure = caught.value.failure
         assert (failure.status, failure.outcome) == (503, Outcome.NOT_RUN)
         assert failure.retry_after == RETENTION_TIME
-        assert self.held == [REQUEST], "told once"
+        assert self.quarantined == [REQUEST], "reported once"
 
-    def test_what_had_run_for_long_or_had_not_begun_among_others_is_innocent(self):
+    def test_long_runs_and_unanswered_requests_among_others_are_innocent(self):
         guard = self.make()
         for number in range(9):
             guard.record_end(REQUEST, LiveStandIn(number), began_at=None)
@@ -239,15 +241,15 @@
             guard.record_end(REQUEST, LiveStandIn(number), began_at=began_at)
         guard.check(REQUEST, service="s")
 
-    def test_what_was_alone_there_is_suspected_before_it_answers(self):
+    def test_the_only_request_of_an_endpoint_is_suspected_before_an_answer(self):
         guard = self.make()
         for number in range(MAX_CRASHES):
-            live = LiveStandIn(number, has_served_one=True)
+            live = LiveStandIn(number, had_at_most_one_request=True)
             guard.record_end(REQUEST, live, began_at=None)
         with pytest.raises(RefusedError):
             guard.check(REQUEST, service="s")
 
-    def test_an_endpoint_is_asked_once_for_all_that_were_there(self):
+    def test_all_requests_of_an_endpoint_share_one_check(self):
         asked = []
 
         async def has_ended(live) -> bool:
@@ -274,7 +276,7 @@
         request = make_mocked_request("GET", "/", match_info=match_info)
         return asyncio.run(getattr(api, name)(request)).body
 
-    def test_they_see_what_is_refused_and_lift_it(self):
+    def test_operators_list_and_lift_quarantines(self):
         guard = TestGuard().make()
         for number in range(MAX_CRASHES):
             guard.record_crash(REQUEST, LiveStandIn(number))
@@ -285,14 +287,14 @@
         assert msgspec.json.decode(self.call(guard, "list_quarantined")) == []
 
     @pytest.mark.parametrize("name", ["", "no hex", REQUEST.hex()])
-    def test_what_is_not_refused_can_not_be_lifted(self, name):
+    def test_requests_without_a_quarantine_cannot_be_lifted(self, name):
         with pytest.raises(RefusedError) as caught:
             self.call(TestGuard().make(), "lift", id=name)
         assert caught.value.failure.status == 404
 
 
-class NewsFleet:
-    """Hosts that tell each other of such requests, in virtual time."""
+class ExchangeFleet:
+    """Hosts that exchange crash counts over rated links, in virtual time."""
 
     def __init__(self, hosts: int, *, domains: int = 3) -> None:
         self.clock = VirtualClock()
@@ -329,14 +331,16 @@
             self.tasks.append(asyncio.create_task(exchange.ask()))
 
     def crash(self, *hosts: str) -> None:
-        """End three endpoints, each seen by another host."""
+        """Crash one endpoint per host under the request, each seen by that host."""
         for number, host_id in enumerate(hosts):
             self.guards[host_id].record_crash(REQUEST, LiveStandIn(number))
 
-    def count_held(self) -> int:
-        return sum(guard.remaining(REQUEST) is not None for guard in self.held_by())
+    def count_quarantining(self) -> int:
+        return sum(
+            guard.remaining(REQUEST) is not None for guard in self.reachable_guards()
+        )
 
-    def held_by(self) -> list[CrashGuard]:
+    def reachable_guards(self) -> list[CrashGuard]:
         return [
             guard
             for host_id, guard in self.guards.items()
@@ -345,17 +349,18 @@
 
 
 class TestHosts:
-    # Guards against tries at other hosts that go on after three endpoints ended.
+    # Guards against retries at other hosts after three endpoints have crashed: each
+    # host must receive the crashes that the others have seen.
     @pytest.mark.parametrize("hosts", [7, 90, 195, 330])
-    def test_all_refuse_it_well_before_they_count_as_in_touch(self, hosts):
+    def test_all_hosts_quarantine_a_request_in_time(self, hosts):
         async def main() -> None:
-            fleet = NewsFleet(hosts)
+            fleet = ExchangeFleet(hosts)
             fleet.start(fleet.rows)
             await asyncio.sleep(2)
             sent = sum(peers.up.bytes for peers in fleet.network.peers_by_id.values())
             fleet.crash("h001", "h002", "h006")
             await asyncio.sleep(IN_TOUCH / 3)
-            assert fleet.count_held() == hosts
+            assert fleet.count_quarantining() == hosts
             await asyncio.sleep(2)
             spent = sum(peers.up.bytes for peers in fleet.network.peers_by_id.values())
             assert (spent - sent) / hosts / 3 < 4000, "bytes a second of each host"
@@ -363,57 +368,57 @@
         run_virtually(main())
 
     @pytest.mark.parametrize("hosts", [7, 90])
-    def test_a_host_that_was_cut_off_refuses_it_soon_after(self, hosts):
+    def test_a_host_that_was_cut_off_catches_up(self, hosts):
         async def main() -> None:
-            fleet = NewsFleet(hosts)
+            fleet = ExchangeFleet(hosts)
             fleet.start(fleet.rows)
             await asyncio.sleep(2)
             fleet.network.cut = {row.host_id for row in fleet.rows[3::3]}
             fleet.crash("h001", "h002", "h001")
             fleet.guards["h001"].record_crash(REQUEST, LiveStandIn(7))
             await asyncio.sleep(10)
-            assert fleet.count_held() == len(fleet.held_by())
+            assert fleet.count_quarantining() == len(fleet.reachable_guards())
             fleet.network.cut = set()
             await asyncio.sleep(IN_TOUCH)
-            assert fleet.count_held() == hosts
+            assert fleet.count_quarantining() == hosts
 
         run_virtually(main())
 
     @pytest.mark.parametrize("hosts", [7, 90])
-    def test_a_host_that_starts_is_told(self, hosts):
+    def test_a_host_that_starts_receives_quarantines(self, hosts):
         async def main() -> None:
-            fleet = NewsFleet(hosts)
+            fleet = ExchangeFleet(hosts)
             fleet.start(fleet.rows[:-1])
             await asyncio.sleep(2)
             fleet.crash("h001", "h002", "h003")
             await asyncio.sleep(5)
             fleet.start(fleet.rows[-1:])
             await asyncio.sleep(IN_TOUCH / 3)
-            assert fleet.count_held() == hosts
+            assert fleet.count_quarantining() == hosts
 
         run_virtually(main())
 
     @pytest.mark.parametrize("hosts", [7, 90])
-    def test_what_an_operator_lifts_is_taken_again_by_all(self, hosts):
+    def test_a_quarantine_lifted_by_an_operator_ends_at_all_hosts(self, hosts):
         async def main() -> None:
-            fleet = NewsFleet(hosts)
+            fleet = ExchangeFleet(hosts)
             fleet.start(fleet.rows)
             await asyncio.sleep(2)
             fleet.crash("h001", "h002", "h003")
             await asyncio.sleep(5)
             assert fleet.guards["h004"].lift(REQUEST)
             await asyncio.sleep(IN_TOUCH / 3)
-            assert fleet.count_held() == 0
+            assert fleet.count_quarantining() == 0
 
         run_virtually(main())
 
 
-class TestBadDay:
-    def test_ends_of_many_at_once_are_told_within_bounds(self):
-        """A hundred endpoints end under 20 requests each, at 30 hosts."""
+class TestManyCrashes:
+    def test_updates_of_many_crashes_do_not_overload_links(self):
+        """A hundred endpoints crash with 20 requests each, at 30 hosts."""
 
         async def main() -> None:
-            fleet = NewsFleet(30)
+            fleet = ExchangeFleet(30)
             fleet.start(fleet.rows)
             await asyncio.sleep(2)
             rng = random.Random(1)
--- a/tests/test_silent_channels.py
+++ b/tests/test_silent_channels.py
@@ -1,7 +1,7 @@
-"""Open connections fall silent for good, without a reset, while new ones work.
+"""Open connections that fall silent for good, without a reset, while new ones work.
 
-Whoever waits on such a connection hears nothing, and TCP may not tell: only a time
-limit of our own shows it.
+A reader of such a connection receives nothing, and TCP may not report an error. Only
+a timeout of the application detects it.
 """
 
 import asyncio
@@ -24,16 +24,17 @@
 
 ENGINES = 3
 EVENTS = 100
-#: The longest pause of a stream that is still in time, in seconds, as users set it.
+#: Maximum pause of a stream that is still in time, in seconds.
 PAUSE = 0.7
-#: Twice the target of the calls, after which a repeatable one goes on elsewhere.
+#: Twice the target time of calls, in seconds, after which a repeatable call is retried
+#: at another endpoint.
 PATIENCE = 0.6
-#: What a test's machine may add, in seconds.
+#: Allowance for delays of the test machine, in seconds.
 SLACK = 0.3
 
 
 class LinkedSystem:
-    """A system whose host reaches all endpoints and the store over links."""
+    """A system whose host reaches all endpoints and the store over faulty links."""
 
     def __init__(self, system: PlatformSystem) -> None:
         self.system = system
@@ -54,11 +55,11 @@
         return link
 
     async def start(self, *, within: float = 3, engines: int = ENGINES) -> FrontHost:
-        """Start a host before engines and endpoints for calls.
+        """Start a host with engines and endpoints for calls.
 
         Args:
-            within: In how many seconds a change must be in force.
-            engines: How many engines.
+            within: Time in which the host must apply a change, in seconds.
+            engines: Number of engines.
         """
         self.system.store.put("config", "main", make_config())
         for number in range(engines):
@@ -74,12 +75,12 @@
         return host
 
     def silence_endpoints(self) -> None:
-        """Silence all connections to endpoints that are open now."""
+        """Silence all open connections to endpoints."""
         for link in self.links:
             link.silence_open()
 
     async def warm(self, send: Callable[[], Awaitable], runners: Iterator) -> None:
-        """Leave several kept connections to each of some endpoints."""
+        """Open several connections to each of some endpoints, and leave them idle."""
         runners = list(runners)
         for runner in runners:
             runner.faults.head_delay = 0.1
@@ -91,7 +92,7 @@
 
 @contextmanager
 def apply_within(seconds: float) -> Iterator[None]:
-    """Let hosts that are made now put changes in force within some time."""
+    """Set the ``apply_within`` setting of hosts that are created in this context."""
     made = FrontHost.__init__
 
     def make(host: FrontHost, *, settings, **fields) -> None:
@@ -106,7 +107,7 @@
 
 
 def run_linked(test: Callable[[LinkedSystem], Awaitable[None]]) -> None:
-    """Run a test before a system with links."""
+    """Run a test against a system with faulty links."""
 
     async def main(system: PlatformSystem) -> None:
         linked = LinkedSystem(system)
@@ -126,8 +127,8 @@
 
 
 class TestCalls:
-    def test_a_repeatable_call_goes_on_elsewhere(self):
-        """Also where all kept connections to the other endpoint are silent."""
+    def test_a_repeatable_call_is_retried_elsewhere(self):
+        """Even if all idle connections to the other endpoint are silent too."""
 
         async def test(linked: LinkedSystem) -> None:
             await linked.start(engines=1)
@@ -141,7 +142,7 @@
 
         run_linked(test)
 
-    def test_after_one_the_next_are_sent_on_new_connections(self):
+    def test_calls_after_a_silent_one_use_new_connections(self):
         async def test(linked: LinkedSystem) -> None:
             await linked.start(engines=1)
             system = linked.system
@@ -157,7 +158,7 @@
 
         run_linked(test)
 
-    def test_one_that_may_not_be_repeated_ends_at_its_callers_limit(self):
+    def test_a_call_that_may_not_be_repeated_ends_at_its_deadline(self):
         async def test(linked: LinkedSystem) -> None:
             await linked.start(engines=1)
             system = linked.system
@@ -184,8 +185,8 @@
             engine.events = EVENTS
         return host
 
-    def test_one_in_the_middle_goes_on_in_time(self):
-        """Also where the kept connections to its replica's endpoint are silent."""
+    def test_a_stream_with_output_resumes_in_time(self):
+        """Even if the idle connections to its replica's endpoint are silent too."""
 
         async def test(linked: LinkedSystem) -> None:
             await self.warm(linked)
@@ -206,7 +207,7 @@
 
         run_linked(test)
 
-    def test_one_at_the_only_engine_goes_on_there(self):
+    def test_a_stream_at_the_only_engine_resumes_there(self):
         async def test(linked: LinkedSystem) -> None:
             await linked.start(engines=1)
             engine = linked.system.runners["i-0"]
@@ -222,7 +223,7 @@
 
         run_linked(test)
 
-    def test_one_before_its_first_output_goes_on(self):
+    def test_a_stream_before_its_first_output_is_retried(self):
         async def test(linked: LinkedSystem) -> None:
             await self.warm(linked)
             system = linked.system
@@ -244,13 +245,13 @@
 
 class TestStore:
     @pytest.mark.parametrize("within", [2, 3])
-    def test_a_change_is_in_force_in_time(self, within):
+    def test_a_change_is_applied_in_time(self, within):
         """All connections to the store fall silent as the change is confirmed."""
 
         async def test(linked: LinkedSystem) -> None:
             host = await linked.start(within=within)
             system = linked.system
-            # Some more kept connections, as listings leave them.
+            # Listings leave some more idle connections.
             await asyncio.gather(
                 *(host.store.list_objects("servers/") for _ in range(4))
             )
@@ -266,8 +267,8 @@
 
         run_linked(test)
 
-    def test_a_listing_that_hears_nothing_is_asked_for_again(self):
-        """The changes since the last watch are forgotten, and the listing is silent."""
+    def test_a_silent_listing_is_retried(self):
+        """The store has dropped the history that the watch needs, so the host lists."""
 
         async def test(linked: LinkedSystem) -> None:
             host = await linked.start()
@@ -284,7 +285,7 @@
             began = now()
             while host.routes.current.version != 7:
                 await asyncio.sleep(0.01)
-            # The time limit of the listing, a pause before the next, and that one.
+            # The timeout of the listing, a pause before the next one, and that one.
             limit = LIST_TIMEOUT.total_seconds()
             assert limit / 2 < now() - began < limit + 0.5
 
@@ -292,7 +293,7 @@
 
 
 class TestPeers:
-    def test_a_silent_link_is_opened_anew(self):
+    def test_a_silent_link_is_replaced(self):
         async def main() -> None:
             port_a, port_b = free_ports(2)
             link = FaultyLink(target=port_b)
@@ -309,12 +310,12 @@
             began = now()
             while True:
                 try:
-                    heard = await first.ask("b", message)
+                    reply = await first.ask("b", message)
                     break
                 except PeerError:
                     assert now() - began < 4
-            assert heard == ConfigChanges(listing=b"[]")
-            # A heartbeat each second, an answer to it within 1.5 s, and a new link.
+            assert reply == ConfigChanges(listing=b"[]")
+            # A heartbeat every second, 1.5 s to answer it, and the time for a new link.
             assert now() - began < 3
             await first.stop()
             await second.stop()
--- a/tests/test_silent_streams.py
+++ b/tests/test_silent_streams.py
@@ -1,7 +1,7 @@
-"""Streams whose endpoint falls silent, and that may not go on elsewhere.
+"""Streams whose endpoint falls silent, and that cannot fail over.
 
-Silence does not tell that an endpoint is lost: a host whose own link is full reaches
-none of them. Whoever breaks such a stream off loses an answer that may still come.
+Silence does not prove that an endpoint is lost: a host whose own link is saturated
+reaches none of them. Aborting such a stream loses an answer that may still arrive.
 """
 
 import asyncio
@@ -14,17 +14,18 @@
 from standins.virtual import run_virtually
 from tests.test_replicas import WHOLE, ReplicaEngine, World
 
-#: How long callers wait.
+#: Time that callers wait for an answer.
 TIME_LEFT = timedelta(seconds=20)
-#: The longest pause that still keeps an answer in time.
+#: Maximum pause of an answer that is still in time.
 MAX_GAP = timedelta(milliseconds=700)
-#: One request earns 0.8 repeats, so that a single stream has none and two have one.
-NO_REPEATS = 0.0
-ONE_REPEAT = 0.2
+#: Initial retry budgets. One request earns 0.8 retries, so that a single stream has no
+#: retry with the first, and one with the second.
+NO_RETRIES = 0.0
+ONE_RETRY = 0.2
 
 
 def fall_silent(engine: ReplicaEngine, *, is_deaf: bool) -> None:
-    """Let an engine send nothing, and take no connections either if it is deaf."""
+    """Stop the output of an engine, and its accepting of connections if it is deaf."""
     engine.hangs = True
     engine.is_deaf = is_deaf
 
@@ -33,13 +34,13 @@
     engine.hangs = engine.is_deaf = False
 
 
-class TestWaitingOn:
-    """A stream at a silent endpoint that may be sent nowhere else."""
+class TestHolding:
+    """A stream at a silent endpoint that cannot fail over is held there."""
 
     @pytest.mark.parametrize("is_deaf", [False, True])
-    def test_without_a_repeat_it_waits_for_its_endpoint(self, is_deaf):
+    def test_without_a_retry_it_waits_for_its_endpoint(self, is_deaf):
         async def test() -> None:
-            world = World(most=NO_REPEATS)
+            world = World(most=NO_RETRIES)
             task = world.start(time_left=TIME_LEFT)
             first = await world.running()
             fall_silent(first, is_deaf=is_deaf)
@@ -66,9 +67,9 @@
 
         run_virtually(test())
 
-    def test_before_its_first_output_too(self):
+    def test_it_waits_before_its_first_output_too(self):
         async def test() -> None:
-            world = World(most=NO_REPEATS)
+            world = World(most=NO_RETRIES)
             for engine in world.engines.by_id.values():
                 fall_silent(engine, is_deaf=True)
             task = world.start(time_left=TIME_LEFT)
@@ -81,9 +82,9 @@
 
         run_virtually(test())
 
-    def test_it_goes_on_elsewhere_as_soon_as_a_repeat_is_earned(self):
+    def test_it_fails_over_as_soon_as_a_retry_is_earned(self):
         async def test() -> None:
-            world = World(most=NO_REPEATS)
+            world = World(most=NO_RETRIES)
             task = world.start(time_left=TIME_LEFT)
             first = await world.running()
             fall_silent(first, is_deaf=True)
@@ -97,8 +98,8 @@
 
         run_virtually(test())
 
-    def test_where_it_could_not_be_whole_elsewhere_it_waits_for_its_endpoint(self):
-        """Its prompt would have to be read again, for which no time is left."""
+    def test_without_time_to_complete_elsewhere_it_waits_for_its_endpoint(self):
+        """Another endpoint would have to prefill the prompt, with no time left."""
 
         async def test() -> None:
             world = World()
@@ -118,9 +119,9 @@
 
         run_virtually(test())
 
-    def test_it_takes_one_repeat_for_one_loss(self):
+    def test_one_loss_takes_one_retry(self):
         async def test() -> None:
-            world = World(most=ONE_REPEAT)
+            world = World(most=ONE_RETRY)
             task = world.start(time_left=TIME_LEFT)
             fall_silent(await world.running(), is_deaf=True)
             await task
@@ -132,9 +133,9 @@
 
         run_virtually(test())
 
-    def test_a_silent_endpoint_gets_no_new_work_until_it_is_heard(self):
+    def test_a_silent_endpoint_gets_no_new_work_until_it_has_output(self):
         async def test() -> None:
-            world = World(most=NO_REPEATS)
+            world = World(most=NO_RETRIES)
             task = world.start(time_left=TIME_LEFT)
             first = await world.running()
             live = world.fleet.find(first.name)
@@ -149,15 +150,15 @@
         run_virtually(test())
 
 
-class TestWaitingForARepeat:
-    """A stream that has left its endpoint and lacks a repeat to go on."""
+class TestWaitingForARetry:
+    """A stream that has lost its endpoint and lacks a retry to resume elsewhere."""
 
-    def test_after_a_silent_endpoint_it_waits_while_its_caller_does(self):
+    def test_after_a_silent_endpoint_it_waits_as_long_as_its_caller(self):
         async def test() -> None:
-            world = World(most=ONE_REPEAT)
+            world = World(most=ONE_RETRY)
             task = world.start(time_left=TIME_LEFT)
             fall_silent(await world.running(), is_deaf=True)
-            # The only repeat leads to a replica that is there no more.
+            # The only retry goes to an endpoint that no longer has the replica.
             world.keeper().replicas.clear()
             await asyncio.sleep(3)
             assert not task.done()
@@ -168,9 +169,9 @@
 
         run_virtually(test())
 
-    def test_no_longer_than_its_caller_waits_between_two_outputs(self):
+    def test_after_a_silent_endpoint_it_waits_for_a_multiple_of_the_max_gap(self):
         async def test() -> None:
-            world = World(most=ONE_REPEAT)
+            world = World(most=ONE_RETRY)
             task = world.start(time_left=TIME_LEFT, max_gap=MAX_GAP)
             fall_silent(await world.running(), is_deaf=True)
             began = world.clock.monotonic()
@@ -182,9 +183,9 @@
 
         run_virtually(test())
 
-    def test_one_that_its_endpoint_broke_off_waits_as_long_as_it_is_in_time(self):
+    def test_a_stream_aborted_by_its_endpoint_waits_for_the_max_gap(self):
         async def test() -> None:
-            world = World(most=NO_REPEATS)
+            world = World(most=NO_RETRIES)
             task = world.start(time_left=TIME_LEFT, max_gap=MAX_GAP)
             (await world.running()).die()
             began = world.clock.monotonic()
@@ -195,9 +196,9 @@
 
         run_virtually(test())
 
-    def test_a_repeat_that_is_earned_meanwhile_is_used(self):
+    def test_a_retry_earned_meanwhile_is_used(self):
         async def test() -> None:
-            world = World(most=NO_REPEATS)
+            world = World(most=NO_RETRIES)
             task = world.start(time_left=TIME_LEFT, max_gap=MAX_GAP)
             (await world.running()).die()
             await asyncio.sleep(0.2)
