--- a/passtally/copies.py
+++ b/passtally/copies.py
@@ -1,8 +1,8 @@
-"""Copies of running answers at one peer, so that both host and engine may die.
+"""Copies running answers to a peer, so that they survive the loss of host and engine.
 
-A caller's resume handle carries the token ids that the copy may still lack, so
-nothing has to wait for the copy: it is sent a few times a second, for all
-streams to a peer in one message.
+A caller's resume handle carries the token ids that the copy may still lack, so that
+output never waits for the copy. Copies are sent asynchronously, a few times a second,
+in one message per peer for all streams.
 """
 
 import asyncio
@@ -21,83 +21,92 @@
 from passtally.messages import CopiedRun, CopiesHeld, CopyFound, FetchCopy, StoreCopies
 from passtally.peers import PeerError, Peers
 
+#: Interval between two sends of new tokens to peers.
 FLUSH_INTERVAL = timedelta(milliseconds=250)
-#: A tail longer than this is left out of handles: the copy has fallen behind.
+#: Maximum length of a handle's tail, in tokens. A longer one means that the copy lags,
+#: and is left out of the handle.
 MAX_TAIL = 256
-KEEP = timedelta(minutes=2)
-MAX_TOKENS_KEPT = 8_000_000
-PEER_PENALTY = timedelta(seconds=5)
+#: Time until a copy expires after its last update.
+COPY_TTL = timedelta(minutes=2)
+MAX_STORED_TOKENS = 8_000_000
+#: Time for which no copies are assigned to a peer that did not reply.
+PEER_AVOID_TIME = timedelta(seconds=5)
 
 
 @attrs.define(kw_only=True)
-class _Kept:
+class _StoredCopy:
     token_ids: array
-    until: timedelta
+    expires_at: timedelta
 
 
 class CopyStore:
-    """The copies that this host keeps for its peers.
+    """Stores copies of peers' running answers in memory.
 
     Args:
         clock: The clock.
-        max_tokens: How many token ids are kept in all; the copies that were
-            longest without news go first.
+        max_tokens: Maximum number of token ids in all copies together. Above it, the
+            least recently updated copies are evicted.
     """
 
-    def __init__(self, *, clock: Clock, max_tokens: int = MAX_TOKENS_KEPT) -> None:
+    def __init__(self, *, clock: Clock, max_tokens: int = MAX_STORED_TOKENS) -> None:
         self.token_count = 0
         self._clock = clock
         self._max_tokens = max_tokens
-        self._kept_by_id: OrderedDict[str, _Kept] = OrderedDict()
+        self._copies_by_id: OrderedDict[str, _StoredCopy] = OrderedDict()
 
     def store(self, copy_id: str, start: int, token_ids: Sequence[int]) -> int:
-        """Keep one run of token ids.
+        """Append consecutive token ids to a copy, without those that it has already.
+
+        Args:
+            copy_id: Id of the copy, which is created if unknown.
+            start: Position of the first token id in the answer.
+            token_ids: The token ids.
 
         Returns:
-            How many of its tokens are now held, from its start. A run
-            that leaves a gap is not kept; the sender sends from there again.
+            The length of the copy in tokens. If ``start`` is beyond it, nothing is
+            stored, and the sender sends again from there.
         """
         now = self._clock.monotonic()
-        kept = self._kept_by_id.get(copy_id)
-        if kept is None:
-            kept = _Kept(token_ids=array("I"), until=now)
-            self._kept_by_id[copy_id] = kept
-        held = len(kept.token_ids)
+        stored = self._copies_by_id.get(copy_id)
+        if stored is None:
+            stored = _StoredCopy(token_ids=array("I"), expires_at=now)
+            self._copies_by_id[copy_id] = stored
+        held = len(stored.token_ids)
         if start <= held:
             new = token_ids[held - start :]
-            kept.token_ids.extend(new)
+            stored.token_ids.extend(new)
             self.token_count += len(new)
-        kept.until = now + KEEP
-        self._kept_by_id.move_to_end(copy_id)
-        self._forget(now)
-        return len(kept.token_ids)
+        stored.expires_at = now + COPY_TTL
+        self._copies_by_id.move_to_end(copy_id)
+        self._evict(now)
+        return len(stored.token_ids)
 
     def fetch(self, copy_id: str) -> array:
-        """Return the token ids held of a copy; none where none are."""
-        kept = self._kept_by_id.get(copy_id)
-        return kept.token_ids if kept else array("I")
-
-    def _forget(self, now: timedelta) -> None:
-        while self._kept_by_id:
-            oldest = next(iter(self._kept_by_id.values()))
-            if oldest.until > now and self.token_count <= self._max_tokens:
+        """Return the stored token ids of a copy; empty if the copy is unknown."""
+        stored = self._copies_by_id.get(copy_id)
+        return stored.token_ids if stored else array("I")
+
+    def _evict(self, now: timedelta) -> None:
+        while self._copies_by_id:
+            oldest = next(iter(self._copies_by_id.values()))
+            if oldest.expires_at > now and self.token_count <= self._max_tokens:
                 return
-            _, dropped = self._kept_by_id.popitem(last=False)
+            _, dropped = self._copies_by_id.popitem(last=False)
             self.token_count -= len(dropped.token_ids)
 
 
 @attrs.define(kw_only=True, eq=False)
 class CopiedStream:
-    """One running answer and how much of it the peer holds.
+    """A running answer and the progress of its copy at the peer.
 
-    The copy has an id of its own: a host that was paused while another took the
-    answer up must never add its tokens to the other's copy.
+    The copy's id is not the generation's: a host that was paused while another host
+    resumed the answer must never append its tokens to the other's copy.
 
     Attributes:
         generation: The answer.
-        copy_id: The copy's id.
-        peer: The peer that keeps its copy, or empty while there is none.
-        copied: How many tokens that peer holds.
+        copy_id: The random id of this host's copy of the answer.
+        peer: The peer that stores the copy, or empty while there is none.
+        copied: Number of tokens that the peer has acknowledged.
     """
 
     generation: Generation
@@ -106,7 +115,11 @@
     copied: int = 0
 
     def tail_start(self, position: int) -> int | None:
-        """Return where a handle's tail starts, or None if it would be too long."""
+        """Return the start of the tail in a handle, or None if it would be too long.
+
+        Args:
+            position: The position that the handle resumes at; the tail ends there.
+        """
         start = min(self.copied, position)
         return start if position - start <= MAX_TAIL else None
 
@@ -116,20 +129,20 @@
     *,
     own_domain: str,
     domains_by_host: dict[str, str],
-    avoid: Collection[str] = (),
+    avoided: Collection[str] = (),
 ) -> str:
-    """Choose the peer that keeps a copy, in another failure domain if there is one.
+    """Choose the peer that stores a copy, in another failure domain if possible.
 
     Args:
-        generation_id: The generation.
-        own_domain: This host's failure domain.
-        domains_by_host: The peers' failure domains; empty where unknown.
-        avoid: Peers that did not answer lately.
+        generation_id: Id of the generation, which spreads copies over the peers.
+        own_domain: The failure domain of this host.
+        domains_by_host: The peers' failure domains by host; empty if unknown.
+        avoided: Peers that recently failed to reply.
 
     Returns:
-        The peer's name, or empty where there is none.
+        The peer's name, or empty if there is none.
     """
-    usable = [host for host in domains_by_host if host not in avoid]
+    usable = [host for host in domains_by_host if host not in avoided]
     if not usable:
         return ""
     return min(
@@ -142,13 +155,13 @@
 
 
 class CopySender:
-    """Sends the copies of this host's running answers.
+    """Sends copies of this host's running answers to peers.
 
     Args:
-        peers: The links.
+        peers: The connections to other hosts.
         clock: The clock.
-        failure_domain: This host's own.
-        domains_by_host: The peers' failure domains.
+        failure_domain: The failure domain of this host.
+        domains_by_host: The peers' failure domains by host.
     """
 
     def __init__(
@@ -167,24 +180,27 @@
         self._avoided_until: dict[str, timedelta] = {}
 
     def open(self, generation: Generation) -> CopiedStream:
-        """Start copying an answer."""
+        """Choose a peer for a running answer and start to copy it there."""
         stream = CopiedStream(generation=generation)
         self._assign(stream)
         self._streams.add(stream)
         return stream
 
     def close(self, stream: CopiedStream) -> None:
-        """Stop copying an answer."""
+        """Stop copying an answer; the peer's copy expires later."""
         self._streams.discard(stream)
 
     async def run(self) -> None:
-        """Send what is new, a few times a second, for ever."""
+        """Send new tokens every ``FLUSH_INTERVAL`` until cancelled."""
         while True:
             await self._clock.sleep(FLUSH_INTERVAL)
             await self.flush()
 
     async def flush(self) -> None:
-        """Send what is new to each peer, and wait for the answers."""
+        """Send new tokens to each peer and wait for the replies.
+
+        The copies of a peer that does not reply start again at another peer.
+        """
         streams_by_peer: dict[str, list[CopiedStream]] = {}
         for stream in self._streams:
             if not stream.peer:
@@ -201,7 +217,7 @@
             )
         except PeerError as error:
             log_event("copies", "Peer did not answer.", peer=peer, why=error)
-            self._avoided_until[peer] = self._clock.monotonic() + PEER_PENALTY
+            self._avoided_until[peer] = self._clock.monotonic() + PEER_AVOID_TIME
             for stream in streams:
                 stream.peer, stream.copied = "", 0
             return
@@ -212,22 +228,22 @@
 
     def _assign(self, stream: CopiedStream) -> None:
         now = self._clock.monotonic()
-        avoid = [host for host, until in self._avoided_until.items() if until > now]
+        avoided = [host for host, until in self._avoided_until.items() if until > now]
         stream.peer = choose_copy_host(
             stream.generation.request.id,
             own_domain=self._failure_domain,
             domains_by_host=self._domains_by_host,
-            avoid=avoid,
+            avoided=avoided,
         )
         stream.copied = 0
 
 
 class CopyService:
-    """Answers peers, and fetches copies for answers taken up here.
+    """Serves this host's copies to peers, and fetches copies for answers resumed here.
 
     Args:
-        copy_store: The copies kept here.
-        peers: The links.
+        copy_store: The copies stored on this host.
+        peers: The connections to other hosts.
     """
 
     def __init__(self, *, copy_store: CopyStore, peers: Peers) -> None:
@@ -239,13 +255,13 @@
     async def recover(
         self, host_id: str, copy_id: str, tail_start: int, tail: Sequence[int]
     ) -> array | None:
-        """Return all token ids that a caller has, or None where some are lost.
+        """Return all token ids that a caller has received, or None if some are lost.
 
         Args:
-            host_id: The peer that keeps the copy; may be this host.
-            copy_id: The copy.
-            tail_start: The position of the tail's first token.
-            tail: The ids that the caller's handle carried.
+            host_id: The host that stores the copy; may be this host.
+            copy_id: Id of the copy.
+            tail_start: Position of the tail's first token.
+            tail: The token ids in the caller's handle.
         """
         copy = await self._find(host_id, copy_id) if tail_start else array("I")
         if len(copy) < tail_start:
@@ -258,7 +274,7 @@
         try:
             found = await self._peers.ask(host_id, FetchCopy(copy_id))
         except PeerError as error:
-            log_event("copies", "Copy out of reach.", peer=host_id, why=error)
+            log_event("copies", "Copy could not be fetched.", peer=host_id, why=error)
             return array("I")
         if not isinstance(found, CopyFound):
             return array("I")
--- a/passtally/fingerprint.py
+++ b/passtally/fingerprint.py
@@ -1,18 +1,19 @@
-"""Tells a request again when its caller sends it anew, at whichever host."""
+"""Fingerprints that identify a request when its caller retries it at any host."""
 
 import hashlib
 
-#: Enough that no two requests of a day share one, in bytes.
+#: Length of a fingerprint in bytes; 96 bits make collisions among the requests of a
+#: day practically impossible.
 FINGERPRINT_BYTES = 12
 
 
 def fingerprint_of(caller: str, target: bytes, body: bytes) -> bytes:
-    """Return what each try of one request has in common, and no other request has.
+    """Return a hash that is equal for all retries of a request and no other request.
 
     Args:
-        caller: Whose it is.
-        target: What it asks for: its path and query, or a service's name.
-        body: Its body.
+        caller: The workspace that sent the request.
+        target: Path and query of the request, or the name of a service.
+        body: The request's body.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (caller.encode(), target, body):
--- a/passtally/forecast.py
+++ b/passtally/forecast.py
@@ -1,7 +1,8 @@
-"""What is left to do for an answer, judged by the answers before it.
+"""Estimates the remaining time of an answer from earlier answers of its service.
 
-A caller that comes back late may have too little time left for the rest of its
-answer. Reading its prompt again would hold up others, and serve nobody.
+A caller that reconnects late may have too little time left for the rest of its answer.
+Another prefill of its prompt would then stall other streams for an answer that cannot
+be complete in time.
 """
 
 from collections import deque
@@ -10,134 +11,159 @@
 
 import attrs
 
-#: Answers that are remembered of each service: some ten seconds of a busy host.
+#: Number of recent answers used per service: about ten seconds of a busy host.
 HISTORY_SIZE = 32
-#: Nothing is forecast from fewer answers. A host that was started after a loss of all
-#: hosts has seen about this many when callers come back that did not notice at once.
+#: Minimum number of answers for a forecast. After a loss of all hosts, a restarted host
+#: has seen about this many when the callers that noticed the loss late reconnect.
 MIN_SAMPLES = 4
-#: The quantiles are deciles; the first is the lowest.
+#: Number of parts for the quantiles below. The nine cut points are indexed from 0, the
+#: lowest, so that index 0 is the 10th percentile.
 _DECILES = 10
-#: Prompt tokens that an engine reads in a second, until it was seen: the sheets of the
-#: first users.
-START_SPEED = 5_000.0
-#: How long an answer takes until some were seen: most of the first users' did not last
-#: longer.
+#: Prefill rate in tokens per second that is assumed before enough answers are known,
+#: as specified for the engines of the first deployments.
+DEFAULT_PREFILL_RATE = 5_000.0
+#: Duration of an answer that is assumed before enough answers are known. Most answers
+#: of the first deployments took no longer.
 START_LASTS = timedelta(seconds=6.4)
-#: How much longer than twice the reading a first output may take.
-FIRST_SLACK = timedelta(seconds=1.5)
-#: A short answer: nine in ten were longer.
-_SHORT = 0
-#: A quick step, and a quick reading: four in five were slower.
-_QUICK_STEP = 1
-_QUICK_READING = 7
-#: A slow reading: nine in ten were quicker.
-_SLOW_READING = 0
-#: A long answer: four in five were shorter.
-_LONG = 7
-#: The median.
-_USUAL = 4
+#: Allowance for a first output, added to twice the prefill time.
+FIRST_OUTPUT_SLACK = timedelta(seconds=1.5)
+#: Length of a short answer: 10th percentile.
+_SHORT_LENGTH = 0
+#: Duration of a fast decode step and rate of a fast prefill: four in five were slower,
+#: so the 20th percentile of durations and the 80th of rates.
+_FAST_STEP = 1
+_FAST_PREFILL = 7
+#: Rate of a slow prefill: 10th percentile.
+_SLOW_PREFILL = 0
+#: Length of a long answer: 80th percentile.
+_LONG_LENGTH = 7
+_MEDIAN = 4
 
 
 @attrs.define(kw_only=True)
-class _Seen:
-    """What was seen of one service.
+class _History:
+    """Samples from recent answers of one service.
 
     Attributes:
-        speeds: Tokens of a prompt read in a second, from dispatch to first output.
-        lengths: Positions at which whole answers ended.
-        steps: Seconds from one position to the next.
+        prefill_rates: Prompt tokens per second, from dispatch to first output.
+        lengths: Lengths of complete answers, in positions.
+        steps: Mean duration of a decode step in each answer, in seconds.
     """
 
-    speeds: deque[float] = attrs.field(factory=lambda: deque(maxlen=HISTORY_SIZE))
+    prefill_rates: deque[float] = attrs.field(
+        factory=lambda: deque(maxlen=HISTORY_SIZE)
+    )
     lengths: deque[int] = attrs.field(factory=lambda: deque(maxlen=HISTORY_SIZE))
     steps: deque[float] = attrs.field(factory=lambda: deque(maxlen=HISTORY_SIZE))
 
 
 class Forecast:
-    """Tells the least time that the rest of an answer takes. Pure."""
+    """Estimates prefill and answer times per service. Pure, no I/O."""
 
     def __init__(self) -> None:
-        self._seen_by_service: dict[str, _Seen] = {}
+        self._histories_by_service: dict[str, _History] = {}
 
     def record_first(self, service: str, tokens: int, waited: timedelta) -> None:
-        """Take in how long a prompt of so many tokens took to its first output."""
+        """Record the time to first output of a prompt.
+
+        Args:
+            service: The id of the service.
+            tokens: Number of tokens that needed prefill; 0 if unknown.
+            waited: Time to the first output.
+        """
         if tokens and waited:
-            self._seen(service).speeds.append(tokens / waited.total_seconds())
+            self._history(service).prefill_rates.append(tokens / waited.total_seconds())
 
     def record_completion(
-        self, service: str, positions: int, lasted: timedelta
+        self, service: str, positions: int, duration: timedelta
     ) -> None:
-        """Take in a whole answer, and how long it lasted from its first output on."""
+        """Record a complete answer.
+
+        Args:
+            service: The id of the service.
+            positions: Number of positions of the answer.
+            duration: Time from its first output to its end.
+        """
         if positions < 2:
             return
-        seen = self._seen(service)
-        seen.lengths.append(positions)
-        seen.steps.append(lasted.total_seconds() / (positions - 1))
+        history = self._history(service)
+        history.lengths.append(positions)
+        history.steps.append(duration.total_seconds() / (positions - 1))
 
     def min_time(self, service: str, *, tokens: int, position: int) -> timedelta:
-        """Return the least time in which an answer is likely to be whole.
+        """Return the minimum time in which an answer is likely to be complete.
 
         Args:
-            service: The service.
-            tokens: What is to be read before it goes on.
-            position: How far it is.
+            service: The id of the service.
+            tokens: Number of tokens that need prefill before the answer continues.
+            position: The number of positions that the answer has already.
 
         Returns:
-            The time for a short answer, read quickly; 0 where too little was seen.
+            The time for a fast prefill and the rest of a short answer in fast steps;
+            0 if there are too few samples.
         """
-        seen = self._seen(service)
-        if min(len(seen.speeds), len(seen.lengths)) < MIN_SAMPLES:
+        history = self._history(service)
+        if min(len(history.prefill_rates), len(history.lengths)) < MIN_SAMPLES:
             return timedelta(0)
-        left = max(0.0, _decile(seen.lengths, _SHORT) - position)
-        reading = tokens / _decile(seen.speeds, _QUICK_READING)
-        return timedelta(seconds=reading + left * _decile(seen.steps, _QUICK_STEP))
+        remaining_positions = max(
+            0.0, _decile(history.lengths, _SHORT_LENGTH) - position
+        )
+        reading = tokens / _decile(history.prefill_rates, _FAST_PREFILL)
+        return timedelta(
+            seconds=reading + remaining_positions * _decile(history.steps, _FAST_STEP)
+        )
 
     def prefill_time(self, service: str, tokens: int) -> timedelta:
-        """Return the least time in which so many tokens are likely to be read.
+        """Return the time for a fast prefill of a number of tokens.
 
         Returns:
-            The time for a quick reading; 0 where too little was seen.
+            The time, or 0 if there are too few samples.
         """
-        seen = self._seen(service)
-        if len(seen.speeds) < MIN_SAMPLES:
+        history = self._history(service)
+        if len(history.prefill_rates) < MIN_SAMPLES:
             return timedelta(0)
-        return timedelta(seconds=tokens / _decile(seen.speeds, _QUICK_READING))
+        return timedelta(seconds=tokens / _decile(history.prefill_rates, _FAST_PREFILL))
 
     def typical_time(self, service: str, *, tokens: int) -> timedelta:
-        """Return the time in which four answers in five are likely to be whole.
+        """Return the time in which four answers in five are likely to be complete.
 
         Args:
-            service: The service.
-            tokens: The prompt's length; 0 where that is not known.
+            service: The id of the service.
+            tokens: Number of prompt tokens; 0 if unknown.
+
+        Returns:
+            The time, or a fixed assumption if there are too few samples.
         """
-        seen = self._seen(service)
-        if min(len(seen.speeds), len(seen.lengths)) < MIN_SAMPLES:
+        history = self._history(service)
+        if min(len(history.prefill_rates), len(history.lengths)) < MIN_SAMPLES:
             return START_LASTS
-        reading = tokens / _decile(seen.speeds, _USUAL)
-        writing = _decile(seen.lengths, _LONG) * _decile(seen.steps, _USUAL)
-        return timedelta(seconds=reading + writing)
+        reading = tokens / _decile(history.prefill_rates, _MEDIAN)
+        decode = _decile(history.lengths, _LONG_LENGTH) * _decile(
+            history.steps, _MEDIAN
+        )
+        return timedelta(seconds=reading + decode)
 
     def first_limit(self, service: str, tokens: int) -> timedelta | None:
-        """Return how long a first output may take at an endpoint that lives.
+        """Return the maximum time to first output at a working endpoint.
 
         Args:
-            service: The service.
-            tokens: All that the endpoint is known to read before it; 0 where that is
-                not known.
+            service: The id of the service.
+            tokens: Number of tokens for prefill before the first output, including
+                those of other prompts queued there; 0 if unknown.
 
         Returns:
-            The limit, or None where there is nothing to judge it by.
+            The limit, or None if the number of tokens is unknown.
         """
         if not tokens:
             return None
-        seen = self._seen(service)
-        speed = START_SPEED
-        if len(seen.speeds) >= MIN_SAMPLES:
-            speed = min(speed, _decile(seen.speeds, _SLOW_READING))
-        return FIRST_SLACK + timedelta(seconds=2 * tokens / speed)
-
-    def _seen(self, service: str) -> _Seen:
-        return self._seen_by_service.setdefault(service, _Seen())
+        history = self._history(service)
+        rate = DEFAULT_PREFILL_RATE
+        if len(history.prefill_rates) >= MIN_SAMPLES:
+            rate = min(rate, _decile(history.prefill_rates, _SLOW_PREFILL))
+        return FIRST_OUTPUT_SLACK + timedelta(seconds=2 * tokens / rate)
+
+    def _history(self, service: str) -> _History:
+        return self._histories_by_service.setdefault(service, _History())
 
 
 def _decile(values: deque, number: int) -> float:
--- a/passtally/objects.py
+++ b/passtally/objects.py
@@ -1,4 +1,4 @@
-"""The configuration objects that operators create and the platform keeps."""
+"""Configuration objects, created by operators and stored by the platform."""
 
 import hashlib
 from enum import StrEnum
@@ -11,31 +11,34 @@
 
 SERVE_ROLE = "serve"
 TOKEN_DIGEST_CHARACTERS = 64
-#: The incarnation of an endpoint that does not tell when it started.
+#: Incarnation of an endpoint that does not report its starts.
 UNTOLD_START = 0
 REQUEST_CLASSES = ("lookup", "interactive", "job")
 
 
 class ServiceKind(StrEnum):
-    """What stands behind a service."""
+    """Kind of a service's endpoints."""
 
+    #: Model engines that generate tokens.
     MODEL = "model"
+    #: HTTP back ends that generate no tokens.
     PLAIN = "plain"
 
 
 class Protection(StrEnum):
-    """What is spent so that an answer survives the death of its entry host."""
+    """How answers survive the death of their entry host."""
 
-    #: The engine holds the stream; nothing else is spent.
+    #: Only the engine holds the stream; this costs nothing more.
     ENGINE = "engine"
-    #: One peer also holds a copy of the token ids.
+    #: One peer also stores a copy of the token ids.
     COPY = "copy"
 
 
 class EndpointState(StrEnum):
-    """Whether an endpoint may get new work."""
+    """Whether an endpoint may get new requests."""
 
     ACTIVE = "active"
+    #: Gets no new requests.
     DRAINING = "draining"
 
 
@@ -44,19 +47,20 @@
     """A model or a plain service that callers reach by its id.
 
     Attributes:
-        id: Its name; for a model service, the ``model`` that callers ask for.
-        kind: What stands behind it.
-        model: The model's name at the engines.
-        version: The model's version; a resume runs on no other.
-        adapter: The adapter's name, or empty.
-        protection: What is spent so that its answers survive.
+        id: The service's id; for a model service, the ``model`` in callers' requests.
+        kind: Kind of its endpoints.
+        model: Name of the model at the engines.
+        version: Version of the model; an answer is resumed on the same version only.
+        adapter: Name of the adapter, or empty.
+        protection: How its answers survive the death of their entry host.
         repeatable: Whether a call may run more than once.
-        deduplicates: Whether its endpoints themselves run a key at most once.
-        max_tokens: The length of an answer when the caller names none.
-        failure_domains: Where it is served; empty means everywhere.
-        weights_gb: The size of the model's weights, in GB.
-        request_class: How urgent its requests are where the caller says nothing:
-            ``lookup``, ``interactive`` or ``job``.
+        deduplicates: Whether its endpoints run calls with the same idempotency key at
+            most once.
+        max_tokens: Maximum length of an answer if the request states none.
+        failure_domains: The failure domains that serve it; empty means all.
+        weights_gb: Size of the model's weights in GB.
+        request_class: Class of requests that state none: ``lookup``, ``interactive``
+            or ``job``.
     """
 
     id: str
@@ -75,13 +79,13 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointStart:
-    """One start of one endpoint.
+    """One start of an endpoint's process.
 
-    An endpoint that starts again may keep its id, and even its address, but holds
-    nothing of before. What was learned of one start says nothing of the next.
+    An endpoint that restarts may keep its id, and even its address, but loses its
+    state. Nothing that is known of one start applies to the next.
 
     Attributes:
-        endpoint_id: The endpoint.
+        endpoint_id: Id of the endpoint.
         incarnation: See :class:`Endpoint`.
     """
 
@@ -89,9 +93,9 @@
     incarnation: int = UNTOLD_START
 
     def is_followed_by(self, other: "EndpointStart") -> bool:
-        """Return whether another start of the same endpoint came after this one.
+        """Return whether ``other`` is a later start of the same endpoint.
 
-        An endpoint that does not tell its start may be the same as before.
+        False if an incarnation is unknown, since both may be the same start.
         """
         return UNTOLD_START < self.incarnation < other.incarnation
 
@@ -101,20 +105,20 @@
     """One back end of a service.
 
     Attributes:
-        id: Its name.
-        service: The id of the service it serves.
-        url: Where it listens, by IP number.
-        failure_domain: Where it stands.
-        state: Whether it may get new work.
-        checks_fencing: Whether it refuses orders with an old fencing number.
-        max_streams: How many requests it takes at once.
-        host: The host it runs on, as the platform's list names it, or empty.
-        incarnation: Goes up each time it is brought back into use, or started again
-            where it tells its starts; 0 where nothing tells.
-        role: What it is for; only ``serve`` gets requests.
+        id: The endpoint's id.
+        service: Id of the service it serves.
+        url: The URL it listens on, with an IP address.
+        failure_domain: The endpoint's failure domain.
+        state: Whether it may get new requests.
+        checks_fencing: Whether it rejects orders with an outdated fencing number.
+        max_streams: Maximum number of concurrent requests.
+        host: Name of the host it runs on in the platform's list, or empty.
+        incarnation: Number that rises each time the endpoint is put back into service
+            and, if it reports its starts, at each restart; 0 if unknown.
+        role: Role of the endpoint; only ``serve`` gets requests.
         versions: The model versions and adapters that it has loaded.
-        software: The version of its software, or empty.
-        is_cold: Whether it is still slow from its start.
+        software: Version of its software, or empty.
+        is_cold: Whether it is still slow after its start.
     """
 
     id: str
@@ -133,21 +137,21 @@
 
     @property
     def start(self) -> EndpointStart:
-        """Which start of it this is."""
+        """The start of the endpoint that this entry describes."""
         return EndpointStart(endpoint_id=self.id, incarnation=self.incarnation)
 
 
 @attrs.frozen(kw_only=True)
 class Workspace:
-    """One customer.
+    """A customer, with its token, share and services.
 
     Attributes:
-        id: Its name.
-        token_sha256: The hex digest of the token its callers bring.
-        share: Its weight against the other workspaces under load.
-        services: The services it may use; empty means all.
-        placements: The failure domain in which it uses a service, by service;
-            where none is named, the caller's nearest.
+        id: The workspace's id.
+        token_sha256: Hex SHA-256 digest of its callers' token.
+        share: Weight in fair queueing against the other workspaces under load.
+        services: Ids of the services it may use; empty means all.
+        placements: The preferred failure domain by service id; for a service
+            without one, the failure domain of the entry host is preferred.
     """
 
     id: str
@@ -158,7 +162,7 @@
 
 
 def is_placed(endpoint: Endpoint, service: Service) -> bool:
-    """Return whether an endpoint stands and has the role to serve a service."""
+    """Return whether an endpoint's failure domain and role let it serve a service."""
     domains = service.failure_domains
     in_domain = not domains or endpoint.failure_domain in domains
     return in_domain and endpoint.role == SERVE_ROLE
@@ -172,18 +176,21 @@
 
 
 def find_problems(kind: str, object_id: str, value: object) -> list[str]:
-    """Return everything that is wrong with a decoded object, one line each.
+    """Return all problems of a decoded object, one line each.
 
     Args:
-        kind: Its kind, a key of :data:`CONFIG_KINDS`.
-        object_id: The id under which it is to be kept.
+        kind: The object's kind, a key of :data:`CONFIG_KINDS`.
+        object_id: The id under which the object is stored.
         value: The object.
     """
     problems = []
     if value.id != object_id:
-        problems.append(f"id: is {value.id!r}, but the path says {object_id!r}")
+        problems.append(f"id: is {value.id!r}, but the path has {object_id!r}")
     if not object_id or not object_id.replace("-", "").replace("_", "").isalnum():
-        problems.append(f"id: {object_id!r} is not a name")
+        problems.append(
+            f"id: {object_id!r} must consist of letters, digits, '-' and '_', "
+            "with at least one letter or digit"
+        )
     checks = {
         "services": _service_problems,
         "endpoints": _endpoint_problems,
@@ -230,19 +237,19 @@
 
 
 def digest_token(token: str) -> str:
-    """Return the hex SHA-256 digest under which a caller's token is kept."""
+    """Return the hex SHA-256 digest that is stored for a caller's token."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def decode_object(value: bytes, kind: type[ObjectT]) -> ObjectT:
-    """Read one object.
+    """Decode a configuration object from JSON.
 
     Args:
-        value: Its JSON.
-        kind: Its class.
+        value: The JSON.
+        kind: The class of the object.
 
     Raises:
-        ValueError: The JSON is broken or does not fit the class.
+        ValueError: The JSON is malformed or does not match the class.
     """
     try:
         return msgspec.json.decode(value, type=kind)
--- a/passtally/placement.py
+++ b/passtally/placement.py
@@ -1,4 +1,4 @@
-"""Where the next attempt of a generation runs, and where its replica is kept."""
+"""Placement: selects endpoints for a generation's next attempt and its replica."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -24,30 +24,31 @@
 )
 from passtally.survey import Survey
 
-#: How long an answer that has begun waits for an endpoint to go on with.
-RESUME_PATIENCE = timedelta(seconds=4)
-RESUME_POLL = timedelta(milliseconds=50)
+#: Maximum wait of an answer that has begun for an endpoint that can resume it.
+RESUME_WAIT_TIMEOUT = timedelta(seconds=4)
+RESUME_POLL_INTERVAL = timedelta(milliseconds=50)
 
 
 class NoPlaceError(Exception):
-    """No endpoint is to run a generation; the text says why."""
+    """No endpoint can run a generation in time; the message is the reason."""
 
 
 class Placement:
-    """Chooses endpoints for generations.
+    """Chooses endpoints for generations and their replicas.
 
     Args:
         fleet: The endpoints.
         clock: The clock.
-        failure_domain: This host's own.
+        failure_domain: The failure domain of this host.
         choose: The routing policy.
-        keeps_replicas: Tells of a service whether its endpoints keep replicas of
-            each other's runs.
-        survey: Asks the best candidates for a prompt what waits there.
-        prefixes: Finds where the prompt of an answer that is taken up is kept.
-        forecast: Tells what an answer still needs; who runs answers teaches it.
-        is_suspect: Returns whether several endpoints ended under a request, by its
-            fingerprint.
+        keeps_replicas: Returns whether the endpoints of a service, given by its id,
+            keep replicas of each other's runs.
+        survey: Queries the best candidates for the number of their waiting runs.
+        prefixes: Finds the endpoint that caches the prompt of a resumed answer.
+        forecast: Estimates the time that an answer still needs. The dispatcher
+            feeds it with the durations of finished answers.
+        is_suspect: Returns whether several endpoints crashed while they ran a
+            request, given by its fingerprint.
     """
 
     def __init__(
@@ -76,32 +77,33 @@
         self._is_suspect = is_suspect
 
     def move(self, failure_domain: str) -> None:
-        """Take in that this host stands in another failure domain."""
+        """Set the failure domain of this host after a change of its settings."""
         self._failure_domain = failure_domain
         self._prefixes.failure_domain = failure_domain
 
     async def place(self, generation: Generation, excluded: set[str]) -> str:
-        """Choose an endpoint, and wait for one a while where there is none.
+        """Choose an endpoint, and wait for a limited time while none is usable.
 
         Args:
-            generation: What is to run.
-            excluded: Endpoints that lost it; cleared while an answer that has begun
-                waits, since there may be no others.
+            generation: The generation to run.
+            excluded: Ids of endpoints that lost the generation. Cleared while an
+                answer that has begun waits, since there may be no other endpoints.
 
         Raises:
-            NoPlaceError: There is none, or the answer could not be whole in time.
+            NoPlaceError: No endpoint is usable, or the answer could not be complete
+                before its deadline.
         """
         request = generation.request
         if generation.delivered and not generation.attempts:
-            kept_at = await self._find_prompt(generation, excluded)
-            if kept_at is not None:
-                return kept_at
-        self._check_time(generation)
-        tried = await self._place_trial(generation, excluded)
-        if tried is not None:
-            return tried
-        patience = RESUME_PATIENCE if generation.delivered else request.patience
-        deadline = self._clock.monotonic() + patience
+            cached_endpoint_id = await self._find_prompt(generation, excluded)
+            if cached_endpoint_id is not None:
+                return cached_endpoint_id
+        self._check_deadline(generation)
+        trial_endpoint_id = await self._place_trial(generation, excluded)
+        if trial_endpoint_id is not None:
+            return trial_endpoint_id
+        wait_time = RESUME_WAIT_TIMEOUT if generation.delivered else request.patience
+        deadline = self._clock.monotonic() + wait_time
         while True:
             decision = self._decide(generation, excluded)
             if decision.endpoint_id is not None:
@@ -112,25 +114,26 @@
                 raise NoPlaceError(decision.reason)
             if generation.delivered:
                 excluded.clear()
-            await self._clock.sleep(RESUME_POLL)
+            await self._clock.sleep(RESUME_POLL_INTERVAL)
 
     def _may_wait(self, generation: Generation, *, until: timedelta) -> bool:
-        """Return whether waiting for an endpoint may help.
+        """Return whether an endpoint may become usable before ``until``.
 
-        An answer that has begun has nothing but to wait.
+        An answer that has begun always waits until then: its only alternative is
+        to fail.
         """
-        patience = until - self._clock.monotonic()
-        if patience <= timedelta(0):
+        wait_time = until - self._clock.monotonic()
+        if wait_time <= timedelta(0):
             return False
         service = generation.request.service
         return bool(generation.delivered) or self._fleet.may_accept_within(
-            service, patience
+            service, wait_time
         )
 
     async def _place_trial(
         self, generation: Generation, excluded: set[str]
     ) -> str | None:
-        """Return an endpoint of a new version, for a request that is to try it."""
+        """Return an endpoint of a new version if the request becomes a trial of it."""
         versions = self._fleet.versions
         service = generation.request.service
         is_new = not generation.attempts and not generation.delivered
@@ -143,14 +146,14 @@
         return await self._survey_and_log(generation, decision)
 
     def can_place(self, generation: Generation, excluded: set[str]) -> bool:
-        """Return whether there is an endpoint now, and time to be whole there.
+        """Return whether an endpoint is usable now, with time left to finish.
 
         Args:
-            generation: What is to run.
-            excluded: Endpoints that are not asked.
+            generation: The generation to run.
+            excluded: Ids of endpoints that are not considered.
         """
         try:
-            self._check_time(generation)
+            self._check_deadline(generation)
         except NoPlaceError:
             return False
         return self._decide(generation, excluded).endpoint_id is not None
@@ -158,12 +161,12 @@
     def place_replica(
         self, generation: Generation, endpoint_id: str, excluded: set[str]
     ) -> str:
-        """Choose where a replica of the next attempt is kept; empty for nowhere.
+        """Return the id of the endpoint for the next attempt's replica, or empty.
 
         Args:
-            generation: What is to run.
-            endpoint_id: Where it runs.
-            excluded: Endpoints that lost it.
+            generation: The generation to run.
+            endpoint_id: Id of the endpoint that runs the attempt.
+            excluded: Ids of endpoints that lost the generation.
         """
         request = generation.request
         if not self._keeps_replicas(request.service):
@@ -202,55 +205,59 @@
         self, generation: Generation, decision: RouteDecision
     ) -> str:
         ranked = decision.ranked or (decision.endpoint_id,)
-        found = await self._survey.choose(ranked)
-        asked = [f"{name}:{n}" for name, n in found.waiting_by_id.items()]
-        self._log(generation, found.endpoint_id, decision, asked=asked)
-        return found.endpoint_id
+        survey_result = await self._survey.choose(ranked)
+        asked = [f"{name}:{n}" for name, n in survey_result.waiting_by_id.items()]
+        self._log(generation, survey_result.endpoint_id, decision, asked=asked)
+        return survey_result.endpoint_id
 
     async def _find_prompt(
         self, generation: Generation, excluded: set[str]
     ) -> str | None:
-        """Return where the prompt of an answer that began at another host is kept."""
+        """Return the endpoint that caches the prompt of an answer begun elsewhere."""
         request = generation.request
-        kept_at = await self._prefixes.find(
+        cached_endpoint_id = await self._prefixes.find(
             request.service, request.prompt, exclude=excluded
         )
         log_decision(
             "route",
             request=request.id,
-            choice=kept_at,
-            reason="its prompt is kept there" if kept_at else "no endpoint keeps it",
+            choice=cached_endpoint_id,
+            reason="prompt is cached there"
+            if cached_endpoint_id
+            else "no endpoint caches the prompt",
             position=generation.position,
         )
-        return kept_at
+        return cached_endpoint_id
 
-    def _check_time(self, generation: Generation) -> None:
-        """Refuse what could not be whole before its caller stops waiting."""
+    def _check_deadline(self, generation: Generation) -> None:
+        """Refuse an answer that could not be complete before its caller's deadline."""
         request = generation.request
         if request.deadline is None:
             return
-        left = request.deadline - self._clock.monotonic()
+        time_left = request.deadline - self._clock.monotonic()
         needed = self.forecast.min_time(
             request.service,
             tokens=count_prefill_tokens(generation),
             position=generation.position,
         )
-        if left < needed:
-            raise NoPlaceError(f"{left} are left, and a short answer needs {needed}")
+        if time_left < needed:
+            raise NoPlaceError(
+                f"the deadline is in {time_left}, and a short answer takes {needed}"
+            )
 
     def _check_target(self, generation: Generation, endpoint_id: str) -> None:
-        """Refuse a new stream whose first output would come too late.
+        """Refuse a new stream whose first output would miss its target.
 
-        It would hold up others, which can still be in time, and serve its caller late.
+        Its prefill would stall streams that can still meet theirs.
         """
         request = generation.request
         if request.target is None or generation.delivered or generation.attempts:
             return
-        ahead = self._fleet.view(endpoint_id).prefill_tokens
-        tokens = ahead + count_prefill_tokens(generation)
+        queued_tokens = self._fleet.view(endpoint_id).prefill_tokens
+        tokens = queued_tokens + count_prefill_tokens(generation)
         needed = self.forecast.prefill_time(request.service, tokens)
         if needed > request.target:
-            raise NoPlaceError(f"its first output would take {needed} at least")
+            raise NoPlaceError(f"the first output would take at least {needed}")
 
     def _log(
         self,
--- a/passtally/prefix_finder.py
+++ b/passtally/prefix_finder.py
@@ -1,8 +1,8 @@
-"""Finds the endpoint that still keeps a prompt in its memory.
+"""Finds the endpoint that still caches a prompt in its KV memory.
 
-A caller whose host died takes its answer up again at another host, which does not
-know where it ran. Reading the prompt again costs an engine a second; where it is kept
-the answer goes on at once.
+A caller whose host died resumes its answer at another host, which does not know the
+endpoint that ran it. Another prefill of the prompt takes an engine about a second; at
+an endpoint that caches the prompt the answer continues at once.
 """
 
 import asyncio
@@ -18,50 +18,53 @@
 from passtally.objects import EndpointState
 from passtally.routing import EndpointView, affinity_of, affinity_rank
 
-#: In larger services not all endpoints are asked: each answer has some 7 KB.
-MAX_ASKED = 40
-#: There a prompt was most likely placed at one of the first endpoints in the order that
-#: its affinity decides: a host hears the loads of a few others only, so most endpoints
-#: look idle to it, and among equal ones that order counts. So many are asked of the
-#: host's own failure domain, where callers mostly come back,
-NEAR_ASKED = 6
-#: and, if none of them keeps it, so many of each other one.
-FAR_ASKED = 2
-#: An answer is used again for so long: callers come back all at once.
+#: Maximum number of endpoints that are all queried. In a larger service only the most
+#: likely ones are, since each reply has about 7 KB.
+MAX_QUERIED = 40
+#: Number of endpoints queried first in the local failure domain of a larger service,
+#: where callers mostly reconnect. A prompt was most likely placed at one of the first
+#: endpoints in the order of its affinity: a host knows the loads of a few other hosts
+#: only, so most endpoints look idle to it, and that order decides between equal ones.
+MAX_LOCAL_QUERIES = 6
+#: Number of endpoints queried in each other failure domain if no local one caches the
+#: prompt.
+MAX_REMOTE_QUERIES = 2
+#: Time for which a reply is reused, since after the loss of a host its callers
+#: reconnect all at once.
 CACHE_TIME = timedelta(milliseconds=250)
 
 
 @attrs.frozen(kw_only=True)
-class _Answer:
+class _CachedPrompts:
     prompts: Collection[str]
-    asked_at: timedelta
+    received_at: timedelta
 
 
 class PrefixFinder:
-    """Asks the endpoints of a service which prompts they keep.
+    """Queries the endpoints of a service for their cached prompts.
 
     Args:
         fleet: The endpoints.
         clock: The clock.
-        failure_domain: This host's own.
+        failure_domain: The failure domain of this host.
     """
 
     def __init__(self, *, fleet: Fleet, clock: Clock, failure_domain: str) -> None:
         self._fleet = fleet
         self._clock = clock
         self.failure_domain = failure_domain
-        self._answers_by_id: dict[str, _Answer] = {}
-        self._asking_by_id: dict[str, asyncio.Task[Collection[str]]] = {}
+        self._cached_prompts_by_id: dict[str, _CachedPrompts] = {}
+        self._queries_by_id: dict[str, asyncio.Task[Collection[str]]] = {}
 
     async def find(
         self, service: str, prompt: str, *, exclude: Collection[str] = ()
     ) -> str | None:
-        """Return the endpoint that keeps a prompt, or None if none tells so.
+        """Return the id of an endpoint that reports a prompt as cached, or None.
 
         Args:
-            service: The service.
-            prompt: What names the prompt.
-            exclude: Endpoints that are not to be used.
+            service: The id of the service.
+            prompt: Identifies the prompt.
+            exclude: Ids of endpoints that are not queried.
         """
         usable = [
             view
@@ -71,31 +74,37 @@
             and view.id not in exclude
             and self._fleet.is_usable(view.id)
         ]
-        if len(usable) <= MAX_ASKED:
-            return await self._ask_all([view.id for view in usable], prompt)
-        near, far = choose_likely(usable, prompt, failure_domain=self.failure_domain)
-        return await self._ask_all(near, prompt) or await self._ask_all(far, prompt)
-
-    async def _ask_all(self, endpoint_ids: Sequence[str], prompt: str) -> str | None:
-        """Return the first of some endpoints that keeps a prompt, or None."""
-        kept = await asyncio.gather(*(self._ask(name) for name in endpoint_ids))
-        for name, prompts in zip(endpoint_ids, kept, strict=True):
+        if len(usable) <= MAX_QUERIED:
+            return await self._query_all([view.id for view in usable], prompt)
+        local, remote = choose_likely(
+            usable, prompt, failure_domain=self.failure_domain
+        )
+        return await self._query_all(local, prompt) or await self._query_all(
+            remote, prompt
+        )
+
+    async def _query_all(self, endpoint_ids: Sequence[str], prompt: str) -> str | None:
+        """Query endpoints concurrently; return the first with the prompt, or None."""
+        prompts_by_endpoint = await asyncio.gather(
+            *(self._query(name) for name in endpoint_ids)
+        )
+        for name, prompts in zip(endpoint_ids, prompts_by_endpoint, strict=True):
             if prompt in prompts:
                 return name
         return None
 
-    async def _ask(self, endpoint_id: str) -> Collection[str]:
-        """Return the prompts that an endpoint keeps; one question serves many."""
-        known = self._answers_by_id.get(endpoint_id)
+    async def _query(self, endpoint_id: str) -> Collection[str]:
+        """Return an endpoint's cached prompts; concurrent callers share one query."""
+        known = self._cached_prompts_by_id.get(endpoint_id)
         now = self._clock.monotonic()
-        if known is not None and now - known.asked_at < CACHE_TIME:
+        if known is not None and now - known.received_at < CACHE_TIME:
             return known.prompts
-        asking = self._asking_by_id.get(endpoint_id)
-        if asking is None:
-            asking = asyncio.create_task(self._fetch(endpoint_id))
-            self._asking_by_id[endpoint_id] = asking
-            asking.add_done_callback(lambda _: self._asking_by_id.pop(endpoint_id))
-        return await asyncio.shield(asking)
+        query = self._queries_by_id.get(endpoint_id)
+        if query is None:
+            query = asyncio.create_task(self._fetch(endpoint_id))
+            self._queries_by_id[endpoint_id] = query
+            query.add_done_callback(lambda _: self._queries_by_id.pop(endpoint_id))
+        return await asyncio.shield(query)
 
     async def _fetch(self, endpoint_id: str) -> Collection[str]:
         live = self._fleet.find(endpoint_id)
@@ -104,40 +113,47 @@
             try:
                 prompts = await live.engine.list_cached_prompts()
             except AttemptLostError as loss:
-                log_event("prefixes", "Not told.", peer=endpoint_id, why=loss)
-        self._forget_old()
-        self._answers_by_id[endpoint_id] = _Answer(
-            prompts=prompts, asked_at=self._clock.monotonic()
+                log_event(
+                    "prefixes",
+                    "Cached prompts could not be listed.",
+                    peer=endpoint_id,
+                    why=loss,
+                )
+        self._drop_expired()
+        self._cached_prompts_by_id[endpoint_id] = _CachedPrompts(
+            prompts=prompts, received_at=self._clock.monotonic()
         )
         return prompts
 
-    def _forget_old(self) -> None:
+    def _drop_expired(self) -> None:
         now = self._clock.monotonic()
-        self._answers_by_id = {
+        self._cached_prompts_by_id = {
             name: answer
-            for name, answer in self._answers_by_id.items()
-            if now - answer.asked_at < CACHE_TIME
+            for name, answer in self._cached_prompts_by_id.items()
+            if now - answer.received_at < CACHE_TIME
         }
 
 
 def choose_likely(
     views: Sequence[EndpointView], prompt: str, *, failure_domain: str
 ) -> tuple[list[str], list[str]]:
-    """Choose the endpoints that most likely keep a prompt. Pure.
+    """Choose the endpoints that most likely cache a prompt. Pure.
 
     Args:
-        views: The service's endpoints.
-        prompt: What names the prompt.
-        failure_domain: The asking host's own.
+        views: Views of the service's endpoints.
+        prompt: Identifies the prompt.
+        failure_domain: The failure domain of the querying host.
 
     Returns:
-        The ids of those of the own failure domain, and of those of others.
+        The endpoint ids in that failure domain, and those in the others.
     """
     affinity = affinity_of(prompt)
     ranked = sorted(views, key=lambda view: affinity_rank(affinity, view.id))
     ids_by_domain: dict[str, list[str]] = {}
     for view in ranked:
         ids_by_domain.setdefault(view.failure_domain, []).append(view.id)
-    near = ids_by_domain.pop(failure_domain, [])[:NEAR_ASKED]
-    far = [name for ids in ids_by_domain.values() for name in ids[:FAR_ASKED]]
-    return near, far
+    local = ids_by_domain.pop(failure_domain, [])[:MAX_LOCAL_QUERIES]
+    remote = [
+        name for ids in ids_by_domain.values() for name in ids[:MAX_REMOTE_QUERIES]
+    ]
+    return local, remote
--- a/passtally/ranking.py
+++ b/passtally/ranking.py
@@ -1,4 +1,4 @@
-"""An order of names that all hosts work out alike, and that differs for each key."""
+"""Rendezvous hashing: an order of names per key that is the same on all hosts."""
 
 import hashlib
 
@@ -6,5 +6,5 @@
 
 
 def rank_of(key: str, name: str) -> bytes:
-    """Return a name's place in the order that a key decides."""
+    """Return the sort key of a name in the order given by a key."""
     return hashlib.blake2b(f"{key} {name}".encode(), digest_size=RANK_BYTES).digest()
--- a/passtally/replica.py
+++ b/passtally/replica.py
@@ -1,8 +1,8 @@
-"""Keeps a replica of a run's state alive while the run lasts.
+"""Maintains a replica of a run's state while the run lasts.
 
-An engine sends a run's state on to a second endpoint as it grows. Where that
-endpoint is lost, the state is copied to a third, again and again, so that the next
-loss finds a replica too.
+An engine streams a run's state to a second endpoint as it grows. If that endpoint is
+lost, the state is copied to a third one at intervals, so that the run can still
+continue from a replica if its own endpoint is lost next.
 """
 
 import asyncio
@@ -17,24 +17,26 @@
 from passtally.generation import Attempt, Generation
 from passtally.live_endpoint import LiveEndpoint
 
-#: How often a run looks whether its replica's endpoint is still there.
+#: Interval between checks whether the endpoint of a replica is still usable.
 CHECK_INTERVAL = timedelta(milliseconds=200)
-#: How often a copy is renewed. Endpoints keep one for about four seconds.
+#: Interval between renewals of a copy. Endpoints keep a copy for about four seconds.
 RENEW_INTERVAL = timedelta(seconds=2.5)
-#: How long a copy that was refused is not asked for again.
-REFUSED_PAUSE = timedelta(seconds=1)
+#: Delay after a failed copy, or after none could be placed, before the next try.
+FAILED_COPY_DELAY = timedelta(seconds=1)
 
 
 class ReplicaKeeper:
-    """Watches the replica of one attempt, for as long as its context lasts.
+    """Async context manager that maintains the replica of one attempt.
 
     Args:
-        generation: What runs.
-        attempt: The attempt; its replica is kept up to date.
-        live: Where it runs.
+        generation: The generation that runs.
+        attempt: The attempt. Its ``replica_id`` and ``replica_ref`` are updated when
+            its replica moves.
+        live: The endpoint that runs the attempt.
         fleet: The endpoints.
         clock: The clock.
-        place: Chooses an endpoint for a replica; empty for none.
+        place: Returns the id of an endpoint for a replica, or empty if none can keep
+            it.
     """
 
     def __init__(
@@ -53,14 +55,14 @@
         self._fleet = fleet
         self._clock = clock
         self._place = place
-        #: Which start of its endpoint the replica was placed at.
-        self._kept_at = fleet.start_of(attempt.replica_id)
-        #: When the replica was copied last; None while the engine sends it on itself.
+        #: The start of the replica's endpoint at which the replica was placed.
+        self._replica_start = fleet.start_of(attempt.replica_id)
+        #: Time of the last copy; None while the engine itself streams the replica.
         self._copied_at: timedelta | None = None
         self._task: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> None:
-        """Begin, where there is a replica to watch."""
+        """Start the checks if the attempt has a replica."""
         if self._attempt.replica_id:
             self._task = asyncio.create_task(self._run())
 
@@ -70,7 +72,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Stop; after a whole answer its copy is let go."""
+        """Stop the checks, and drop the copy if the answer is complete."""
         if self._task is None:
             return
         self._task.cancel()
@@ -92,7 +94,7 @@
         if target:
             await self._copy(target)
         else:
-            await self._clock.sleep(REFUSED_PAUSE)
+            await self._clock.sleep(FAILED_COPY_DELAY)
 
     def _is_due(self) -> bool:
         """Return whether the replica is a copy that has to be renewed."""
@@ -101,13 +103,13 @@
         return self._clock.monotonic() - self._copied_at >= RENEW_INTERVAL
 
     def _is_lost(self) -> bool:
-        """Return whether its endpoint is gone, or holds it no more.
+        """Return whether the replica's endpoint is unusable or has restarted.
 
-        Where the endpoint started again before the replica was placed, and its entry
-        told so later, one copy is made that was not needed.
+        If the endpoint restarted before the replica was placed, and its registry entry
+        shows the restart only later, one needless copy is made.
         """
         replica_id = self._attempt.replica_id
-        if self._kept_at.is_followed_by(self._fleet.start_of(replica_id)):
+        if self._replica_start.is_followed_by(self._fleet.start_of(replica_id)):
             return True
         return not self._fleet.is_usable(replica_id)
 
@@ -119,23 +121,23 @@
         except (AttemptLostError, ValueError) as error:
             log_event(
                 "replica",
-                "Not copied.",
+                "Run could not be copied.",
                 request=self._generation.request.id,
                 peer=target,
                 why=error,
             )
-            await self._clock.sleep(REFUSED_PAUSE)
+            await self._clock.sleep(FAILED_COPY_DELAY)
             return
         if target != attempt.replica_id:
             log_event(
                 "replica",
-                "Copied, the endpoint of the last one is gone.",
+                "Run copied after its replica was lost.",
                 request=self._generation.request.id,
                 peer=target,
                 lost=attempt.replica_id,
             )
         attempt.replica_id, attempt.replica_ref = target, ref
-        self._kept_at = start
+        self._replica_start = start
         self._copied_at = self._clock.monotonic()
 
     async def _drop(self) -> None:
--- a/passtally/routes.py
+++ b/passtally/routes.py
@@ -1,7 +1,7 @@
-"""Which service a request goes to, and what its caller may expect. Pure.
+"""Routes: map a request to a service, with its limits. Pure, no I/O.
 
-A set of routes is read as a whole and replaced as a whole, with a version that
-only rises.
+A set of routes is replaced as a whole. Its version only rises, except after a change
+of the store.
 """
 
 import hashlib
@@ -16,19 +16,19 @@
 
 
 class CallKind(StrEnum):
-    """What may be done with a request that was lost."""
+    """Kind of a route's calls, which determines whether lost requests are retried."""
 
-    #: It may run more than once.
+    #: A call that may run more than once.
     SAFE = "safe"
-    #: It may run once at most.
+    #: A call that must run at most once.
     UNSAFE = "unsafe"
-    #: Its answer is a series of events.
+    #: A call whose answer is a stream of events.
     STREAM = "stream"
 
 
 @attrs.frozen(kw_only=True)
 class ServiceShare:
-    """The part of a route's requests that goes to one service."""
+    """A service of a route and its weight in the traffic split."""
 
     service: str
     weight: int
@@ -36,21 +36,21 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """One route.
+    """A rule that maps requests by host name and path prefix to services.
 
     Attributes:
-        name: Its name.
-        host: The host name that requests bring.
-        path_prefix: What their paths begin with.
-        kind: What may be done with a request that was lost.
-        timeout: The longest a request is held.
-        target: The time to the answer, or a stream's first event, that is aimed at.
-        max_gap: The longest pause between a stream's events that is aimed at.
-        priority: Its rank; 0 is the most urgent.
-        shares: The services that its requests go to.
-        max_attempts: How many endpoints one request may be sent to.
-        is_public: Whether no key is needed.
-        is_resumable: Whether a stream may be taken up at another endpoint.
+        name: The route's name.
+        host: The host name of the requests, case-insensitive.
+        path_prefix: The prefix of the requests' paths.
+        kind: Whether a lost request is retried, and whether the answer is a stream.
+        timeout: Maximum duration of a request in this system.
+        target: Target time to the answer, or to a stream's first event.
+        max_gap: Target maximum of the pause between two events of a stream.
+        priority: Priority of the requests; 0 is the most urgent.
+        shares: The services that serve the requests, with their weights.
+        max_attempts: Maximum number of attempts per request.
+        is_public: Whether requests need no key.
+        is_resumable: Whether a stream may be resumed at another endpoint.
     """
 
     name: str
@@ -68,16 +68,16 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request may run again after it was lost."""
+        """Whether a lost request may be retried."""
         if self.kind is CallKind.STREAM:
             return self.is_resumable
         return self.kind is CallKind.SAFE
 
     def service_for(self, key: bytes) -> str:
-        """Return the service of one request, the same for the same key.
+        """Return the service for a request; equal keys give the same service.
 
         Args:
-            key: What identifies the request or its session.
+            key: Identifies the request or its session.
         """
         total = sum(share.weight for share in self.shares)
         digest = hashlib.blake2b(key, digest_size=8).digest()
@@ -91,15 +91,16 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceInfo:
-    """What is known of a service.
+    """The configuration of a service's endpoints.
 
     Attributes:
-        id: Its name.
-        max_connections: The connections that one endpoint takes from all hosts.
+        id: The service's id.
+        max_connections: Maximum number of connections that one endpoint accepts from
+            all hosts together.
         keeps_replicas: Whether an endpoint can keep a replica of another's run.
-        replica_ttl: How long a replica is kept after its last update.
-        capacity_tokens: The tokens that one endpoint's memory holds; 0 if it
-            generates nothing.
+        replica_ttl: Time until a replica expires after its last update.
+        capacity_tokens: Capacity of one endpoint's KV memory in tokens; 0 if the
+            service does not generate tokens.
     """
 
     id: str
@@ -111,12 +112,13 @@
 
 @attrs.frozen(kw_only=True)
 class WorkspaceKeys:
-    """One workspace and the keys that its callers bring.
+    """A workspace and the API keys of its callers.
 
     Attributes:
-        workspace: Its name.
-        keys: Its keys.
-        priority: Its rank; it goes before a route's.
+        workspace: The workspace's name.
+        keys: The keys that authenticate its callers.
+        priority: Priority of its requests, which overrides that of the route; None
+            leaves the route's.
     """
 
     workspace: str
@@ -129,11 +131,11 @@
     """All routes of one version of the configuration.
 
     Attributes:
-        version: The version.
-        routes: The routes.
-        services: The services.
-        workspaces: The workspaces; empty where no keys are needed.
-        limits: What callers may send.
+        version: The version of the configuration.
+        routes: The routes, in any order.
+        services: The services that the routes use.
+        workspaces: The workspaces; empty if requests need no keys.
+        limits: Limits of requests and connections at the HTTP server.
     """
 
     version: int
@@ -163,33 +165,33 @@
         return {service.id: service for service in self.services}
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix of a path, or None."""
+        """Return the host's route with the longest matching path prefix, or None."""
         for route in self._routes_by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def find_workspace(self, key: str) -> WorkspaceKeys | None:
-        """Return whose key it is, or None."""
+        """Return the workspace that a key belongs to, or None."""
         return self._workspaces_by_key.get(key)
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests bring a workspace's key."""
+        """Whether requests must carry a workspace's key, except on public routes."""
         return bool(self.workspaces)
 
 
 @attrs.define(kw_only=True)
 class ActiveRoutes:
-    """The newest set of routes that this host knows.
+    """The set of routes in force on this host.
 
     Attributes:
-        current: The set, or None before the first.
+        current: The set in force, or None before the first was applied.
     """
 
     current: RouteSet | None = None
     _stored_version: int = 0
-    _is_renewed: bool = False
+    _accepts_any_version: bool = False
 
     def keeps_replicas(self, service_id: str) -> bool:
         """Return whether a service's endpoints keep replicas of each other's runs."""
@@ -197,7 +199,7 @@
         return info is not None and info.keeps_replicas
 
     def capacity_of(self, service_id: str) -> int:
-        """Return the tokens that an endpoint's memory holds; 0 where not known."""
+        """Return the KV capacity of a service's endpoint in tokens; 0 if unknown."""
         info = self._find_service(service_id)
         return 0 if info is None else info.capacity_tokens
 
@@ -205,23 +207,34 @@
         return self.current.services_by_id.get(service_id) if self.current else None
 
     def renew(self) -> None:
-        """Take the next set at whatever version: it may come from another store.
+        """Accept the next set at any version, since it may come from another store.
 
-        Not one of a later era: it is the copy from which the store came back.
+        A set of a later era of the store is excepted. It is from the older copy that
+        the store was restored from, so it still needs a higher version.
         """
-        self._is_renewed = True
+        self._accepts_any_version = True
 
     def take(self, routes: RouteSet, *, stored_version: int = 0) -> bool:
-        """Put a set in force unless a newer one is; return whether it was put.
+        """Apply a set if its version is higher than that of the current one.
+
+        The first set after :meth:`renew` is applied at any version, except as stated
+        there.
 
         Args:
-            routes: The set.
-            stored_version: The version of the object that holds it.
+            routes: The new set.
+            stored_version: The version of the stored object that contains the set; it
+                gives the store's era.
+
+        Returns:
+            Whether the set is now in force.
         """
-        is_of_copy = era_of(stored_version) > era_of(self._stored_version)
-        is_renewed, self._is_renewed = self._is_renewed and not is_of_copy, False
+        is_later_era = era_of(stored_version) > era_of(self._stored_version)
+        accepts_any_version, self._accepts_any_version = (
+            self._accepts_any_version and not is_later_era,
+            False,
+        )
         is_newer = self.current is None or routes.version > self.current.version
-        if not is_newer and not is_renewed:
+        if not is_newer and not accepts_any_version:
             return False
         self.current = routes
         self._stored_version = stored_version
--- a/passtally/routing.py
+++ b/passtally/routing.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to. Pure: typed views in, a decision out."""
+"""Routing policy: chooses endpoints from views of them. Pure functions, no I/O."""
 
 import hashlib
 from collections.abc import Callable, Collection, Sequence
@@ -11,30 +11,32 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointView:
-    """What this entry host believes of one endpoint.
+    """The state of one endpoint as this entry host knows it.
 
     Attributes:
-        id: Its name.
-        failure_domain: Where it stands.
-        state: Whether it may get new work.
-        own_streams: Requests of this host that are open there.
-        reported_streams: Requests that its last report counted, all hosts'.
-        own_at_report: This host's open requests when that report was made.
-        report_age: How old that report is.
-        max_streams: How many it takes at once.
-        ejected_until: Until when it gets no new work, on the monotonic clock.
-        resume_tokens: Tokens that this host's resumes still make it read.
-        is_unstable: Whether a run was lost in its failure domain a moment ago, or a
-            call by the endpoint itself.
-        is_half_open: Whether a request is under way that shows whether it is back.
-        kv_tokens: Tokens in its memory for this host's runs and replicas.
-        prefill_tokens: Tokens of prompts that it is still to read, all hosts' as far
-            as they are known.
-        running_streams: Streams there that have output already, all hosts' as far as
-            they are known.
-        capacity_tokens: The tokens that its memory holds; 0 where that is not known.
-        accepts_requests: Whether the limit that it names has room for a request of this
-            host, and it has not asked this host for rest.
+        id: The endpoint's id.
+        failure_domain: The endpoint's failure domain.
+        state: Whether the endpoint may get new requests.
+        own_streams: Number of this host's requests that are open at the endpoint.
+        reported_streams: Number of requests of all hosts in the endpoint's last load
+            report.
+        own_at_report: Number of this host's open requests when that report was made.
+        max_streams: Maximum number of concurrent requests.
+        report_age: Age of the last load report.
+        ejected_until: Time on the monotonic clock at which its ejection ends.
+        resume_tokens: Tokens of this host's resumes that still wait for prefill there.
+        is_unstable: Whether a run was recently lost in its failure domain, or the
+            endpoint itself recently failed a call.
+        is_half_open: Whether a request is open there that probes its recovery.
+        kv_tokens: Tokens in its KV memory of runs and replicas, for all hosts whose
+            loads are known.
+        prefill_tokens: Prompt tokens that still wait for prefill there, for all hosts
+            whose loads are known.
+        running_streams: Streams there that have produced output, for all hosts whose
+            loads are known.
+        capacity_tokens: Capacity of its KV memory in tokens; 0 if unknown.
+        accepts_requests: Whether its request limit has capacity for a request of this
+            host, and it is not in back-off for this host.
     """
 
     id: str
@@ -57,38 +59,43 @@
 
     @property
     def taken(self) -> int:
-        """The places believed taken.
+        """Estimated number of open requests.
 
-        This host counts its own requests exactly. What the report showed of other
-        hosts' fades with its age: an endpoint that was once reported full would
-        otherwise get no request, and so never a newer report.
+        Requests of this host are counted exactly. The reported number of other
+        hosts' requests decays with the age of the report: otherwise an endpoint that
+        once reported itself full would get no request, and so never a newer report.
         """
         others = max(0, self.reported_streams - self.own_at_report)
-        faded = others * 0.5 ** (self.report_age / REPORT_HALF_LIFE)
-        return self.own_streams + round(faded)
+        decayed = others * 0.5 ** (self.report_age / REPORT_HALF_LIFE)
+        return self.own_streams + round(decayed)
 
     @property
     def load(self) -> float:
-        """The share of its places, or of its memory, believed taken."""
-        places = self.taken / self.max_streams
+        """Estimated utilization of its streams or its KV memory, whichever is higher.
+
+        1 is full.
+        """
+        stream_load = self.taken / self.max_streams
         if not self.capacity_tokens:
-            return places
-        return max(places, self.kv_tokens / self.capacity_tokens)
+            return stream_load
+        return max(stream_load, self.kv_tokens / self.capacity_tokens)
 
 
 @attrs.frozen(kw_only=True)
 class RouteQuery:
-    """What is to be placed.
+    """A request to be routed.
 
     Attributes:
-        affinity: What decides where its prompt prefix is likely cached.
-        failure_domain: The asking host's own.
-        exclude: Endpoints that lost this request before.
-        resume_tokens: The tokens that an endpoint must read to go on with an
-            answer; 0 for a new request.
-        tokens: What it may take in an endpoint's memory; 0 where that is not known.
-        prompt_tokens: What an endpoint must read; 0 where that is not known.
-        suspect: The request, where several endpoints ended under it; else empty.
+        affinity: The start of its prompt, which selects the endpoints that likely
+            cache the prefix.
+        failure_domain: The failure domain that is preferred.
+        exclude: Ids of endpoints that lost this request before.
+        resume_tokens: Tokens that need prefill before the answer continues; 0 for a
+            new request.
+        tokens: Maximum number of tokens that it takes in KV memory; 0 if unknown.
+        prompt_tokens: Tokens that need prefill; 0 if unknown.
+        suspect: Fingerprint of the request if several endpoints crashed while running
+            it, else empty.
     """
 
     affinity: bytes
@@ -102,13 +109,14 @@
 
 @attrs.frozen(kw_only=True)
 class RouteDecision:
-    """Where a request goes, and why.
+    """The endpoint chosen for a request, with the reason.
 
     Attributes:
-        endpoint_id: The choice, or None where nothing can take it.
+        endpoint_id: Id of the chosen endpoint, or None if none can take the request.
         candidates: The endpoints that were compared, for the log.
-        reason: One short phrase for the log.
-        ranked: The ids of the best ones, the choice first, where the load decided.
+        reason: A short phrase for logs and error messages.
+        ranked: Ids of the best endpoints, the chosen one first. Empty unless the
+            choice was by tokens.
     """
 
     endpoint_id: str | None
@@ -119,45 +127,50 @@
 
 Choose = Callable[..., RouteDecision]
 
-#: The time in which a report's word on other hosts' requests loses half its weight.
+#: Half-life of the weight of other hosts' requests in a load report.
 REPORT_HALF_LIFE = timedelta(seconds=2)
-#: Tokens of resumes that one host makes one endpoint read at a time: the streams
-#: of a dead endpoint come all at once and must not take the next one down.
+#: Maximum number of resume tokens of one host that wait for prefill at one endpoint.
+#: The streams of a dead endpoint are resumed all at once and would overload the next.
 RESUME_BUDGET = 16_000
-#: An endpoint may be this many times as loaded as the mean, and a little more,
-#: before its prefixes go to the next one.
+#: Bound of consistent hashing with bounded loads: an endpoint whose load is above
+#: LOAD_BOUND times the mean plus LOAD_SLACK passes its prefixes on to the next one.
 LOAD_BOUND = 1.2
-SLACK = 0.05
-#: What a stream that runs at an endpoint counts there, as a part of the prompt that is
-#: to be read: while an engine reads, a step takes some six times as long.
+LOAD_SLACK = 0.05
+#: Cost of stalling one running stream, as a share of the prompt's prefill. During
+#: prefill an engine's decode step takes about six times as long.
 PREFILL_STALL_SHARE = 0.8
-#: Another failure domain counts as so many more tokens to read: a fifth of a prompt.
-FAR_TOKENS = 1_000
-#: Endpoints count as equal within so many tokens.
-EQUAL_TOKENS = 1_000
-#: Candidates that a decision ranks, for who asks them before the choice.
+#: Cost of an endpoint in another failure domain, in prefill tokens: a fifth of a
+#: typical prompt.
+REMOTE_DOMAIN_TOKENS = 1_000
+#: Costs are rounded to multiples of this number of tokens, so that endpoints of nearly
+#: the same cost count as equal.
+COST_STEP_TOKENS = 1_000
+#: Maximum number of ranked candidates in a decision, for the survey that queries them.
 MAX_RANKED = 4
-#: Candidates named in a decision's log line.
+#: Maximum number of candidates in the log line of a decision.
 MAX_LOGGED = 4
-#: The part of a prompt that decides its affinity, in characters.
+#: Length of the prompt prefix that determines its affinity, in characters.
 PREFIX_CHARACTERS = 256
-#: Above this load an endpoint is passed over while another is below it.
+#: Load from which an endpoint is deprioritized while another is below it.
 BUSY_LOAD = 0.8
 
 
 def choose_endpoint(
     query: RouteQuery, endpoints: Sequence[EndpointView], *, now: timedelta
 ) -> RouteDecision:
-    """Choose by prefix affinity within a bound of the load.
+    """Choose an endpoint for a request.
 
-    The endpoints stand in an order that the prefix decides; the first whose load
-    is not far above the mean is taken, so that a popular prefix spreads. Local
-    ones go first, others are used once the local are busy. Ejected ones are taken
-    only where all are: this host itself may be at fault.
+    Prefers endpoints that are neither ejected nor unstable. Ejected ones are used only
+    if all are ejected, since the fault may then be this host's own. If the KV capacity
+    of all of them is known, the endpoint of the lowest prefill cost is chosen. Else it
+    is chosen by prefix affinity with a bounded load: the prefix gives an order of the
+    endpoints, and the first whose load is not far above the mean is chosen, so that a
+    popular prefix spreads over several. Endpoints of other failure domains are used
+    once the local ones are busy.
 
     Args:
-        query: What is to be placed.
-        endpoints: The service's endpoints.
+        query: The request.
+        endpoints: Views of the service's endpoints.
         now: The monotonic time.
     """
     allowed = [view for view in endpoints if _is_allowed(view, query)]
@@ -173,23 +186,23 @@
         return _choose_by_tokens(query, usable)
     if query.resume_tokens:
         return _choose_for_resume(query, usable)
-    with_room = [view for view in usable if view.load < 1]
-    if not with_room:
+    with_capacity = [view for view in usable if view.load < 1]
+    if not with_capacity:
         names = tuple(view.id for view in usable)
         return RouteDecision(endpoint_id=None, candidates=names, reason="all full")
     local = [
         view
-        for view in with_room
+        for view in with_capacity
         if view.failure_domain == query.failure_domain and view.load < BUSY_LOAD
     ]
-    pool = local or with_room
+    pool = local or with_capacity
     ranked = sorted(pool, key=lambda view: affinity_rank(query.affinity, view.id))
-    bound = LOAD_BOUND * (sum(view.load for view in pool) / len(pool)) + SLACK
+    bound = LOAD_BOUND * (sum(view.load for view in pool) / len(pool)) + LOAD_SLACK
     compared = [view for view in ranked if view.load <= bound] or ranked
     choice = compared[0]
     reason = "local, by prefix" if local else "spill-over, by prefix"
     if _is_ejected(choice, now):
-        reason = "all are ejected, trying one"
+        reason = "all endpoints are ejected, trying one"
     return RouteDecision(
         endpoint_id=choice.id,
         candidates=tuple(view.id for view in compared[:MAX_LOGGED]),
@@ -204,16 +217,22 @@
     *,
     now: timedelta,
 ) -> str:
-    """Choose where a replica of a run is kept; empty where nothing can keep it.
+    """Return the id of the endpoint that keeps a run's replica, or empty if none can.
 
-    Another failure domain than the run's goes first, since endpoints of one domain
-    are often lost together; then the host's own, so that it reaches the run or the
-    replica if its domain is cut off from the others; then the least loaded.
+    Prefers, in this order:
+
+    - a failure domain other than the run's, since endpoints of one domain are often
+      lost together
+    - an endpoint that is not unstable
+    - an endpoint that is not busy
+    - the domain of this host, so that the host still reaches the run or the replica
+      when its domain is partitioned from the others
+    - the least loaded endpoint
 
     Args:
-        primary_id: Where the run is.
-        query: What runs.
-        endpoints: The service's endpoints.
+        primary_id: Id of the endpoint that runs the attempt.
+        query: The request that runs.
+        endpoints: Views of the service's endpoints.
         now: The monotonic time.
     """
     domain = next(
@@ -229,10 +248,10 @@
 
     def cost(view: EndpointView) -> tuple[bool, bool, bool, bool, float, bytes]:
         shares_domain = view.failure_domain == domain
-        is_far = view.failure_domain != query.failure_domain
+        is_remote = view.failure_domain != query.failure_domain
         is_busy = view.load >= BUSY_LOAD
         rank = affinity_rank(query.affinity, view.id)
-        return shares_domain, view.is_unstable, is_busy, is_far, view.load, rank
+        return shares_domain, view.is_unstable, is_busy, is_remote, view.load, rank
 
     return min(usable, key=cost).id if usable else ""
 
@@ -240,26 +259,30 @@
 def _choose_by_tokens(
     query: RouteQuery, usable: Sequence[EndpointView]
 ) -> RouteDecision:
-    """Choose where a prompt is read soonest, among endpoints of known memory.
+    """Choose the endpoint of the lowest prefill cost; all KV capacities are known.
 
-    Prompts that are still to be read count in full, since a new one waits for them;
-    what is in the memory slows each step a little, until it is full. Nearly equal
-    endpoints stand in an order that the prompt decides, so that hosts that choose at
-    the same moment choose apart.
+    Prompts that wait for prefill count in full, since a new prompt queues behind them.
+    Tokens in KV memory cost nothing until the memory is full: they slow each step only
+    slightly. Endpoints of nearly equal cost are ordered by a hash of the prompt, so
+    that hosts that route different prompts at the same moment choose different ones.
     """
 
     def cost(view: EndpointView) -> tuple[int, bytes]:
-        # What is still being read there will run, and be held up, by its turn.
-        ahead = view.prefill_tokens + query.prompt_tokens * view.running_streams
-        tokens = view.prefill_tokens + PREFILL_STALL_SHARE * ahead
+        # Prompts that wait for prefill will be running streams, and stalled too, by the
+        # time of this prompt's prefill.
+        stalled_tokens = (
+            view.prefill_tokens + query.prompt_tokens * view.running_streams
+        )
+        tokens = view.prefill_tokens + PREFILL_STALL_SHARE * stalled_tokens
         if view.failure_domain != query.failure_domain:
-            tokens += FAR_TOKENS
+            tokens += REMOTE_DOMAIN_TOKENS
         overflow = view.kv_tokens + query.tokens - view.capacity_tokens
         if overflow > 0:
-            # It waits until runs have ended there, or makes one be read again.
+            # The run waits until others have ended, or evicts one from the KV memory,
+            # whose prompt then needs prefill again.
             tokens += overflow + query.prompt_tokens
         rank = affinity_rank(query.affinity, view.id)
-        return round(tokens / EQUAL_TOKENS), rank
+        return round(tokens / COST_STEP_TOKENS), rank
 
     ranked = sorted(usable, key=cost)
     return RouteDecision(
@@ -268,7 +291,7 @@
             f"{view.id}:{view.prefill_tokens}+{view.running_streams}"
             for view in ranked[:MAX_LOGGED]
         ),
-        reason="least to read",
+        reason="lowest prefill cost",
         ranked=tuple(view.id for view in ranked[:MAX_RANKED]),
     )
 
@@ -276,49 +299,59 @@
 def _choose_for_suspect(
     query: RouteQuery, usable: Sequence[EndpointView]
 ) -> RouteDecision:
-    """Choose the same endpoint at all hosts: its tries at once end no more than one."""
-    with_room = [view for view in usable if view.load < 1] or usable
-    ranked = sorted(with_room, key=lambda view: affinity_rank(query.suspect, view.id))
+    """Choose the same endpoint on all hosts.
+
+    Concurrent attempts of a request that crashes endpoints then crash only one.
+    """
+    with_capacity = [view for view in usable if view.load < 1] or usable
+    ranked = sorted(
+        with_capacity, key=lambda view: affinity_rank(query.suspect, view.id)
+    )
     return RouteDecision(
         endpoint_id=ranked[0].id,
         candidates=tuple(view.id for view in ranked[:MAX_LOGGED]),
-        reason="endpoints ended under it",
+        reason="endpoints crashed while running it",
     )
 
 
 def _choose_for_resume(
     query: RouteQuery, usable: Sequence[EndpointView]
 ) -> RouteDecision:
-    """Spread resumes: the endpoint that has the least to read for them goes first.
+    """Choose by load and pending resume tokens, within the resume budget.
 
-    A resume takes a place also where all are taken: its caller has waited already.
+    The budget spreads the resumes of a dead endpoint. An endpoint at its stream limit
+    may be chosen too, since the caller of a resume has waited already.
     """
     names = tuple(view.id for view in usable)
-    open_views = [
+    within_budget = [
         view
         for view in usable
         if not view.resume_tokens
         or view.resume_tokens + query.resume_tokens <= RESUME_BUDGET
     ]
-    if not open_views:
+    if not within_budget:
         return RouteDecision(
             endpoint_id=None, candidates=names, reason="resume budget is spent"
         )
 
     def cost(view: EndpointView) -> tuple[float, bool, bytes]:
-        is_far = view.failure_domain != query.failure_domain
+        is_remote = view.failure_domain != query.failure_domain
         reading = view.resume_tokens / RESUME_BUDGET
-        return view.load + reading, is_far, affinity_rank(query.affinity, view.id)
+        return (
+            view.load + reading,
+            is_remote,
+            affinity_rank(query.affinity, view.id),
+        )
 
-    choice = min(open_views, key=cost)
+    choice = min(within_budget, key=cost)
     return RouteDecision(
-        endpoint_id=choice.id, candidates=names, reason="resume, least to read"
+        endpoint_id=choice.id, candidates=names, reason="resume, lowest load"
     )
 
 
 def _is_allowed(view: EndpointView, query: RouteQuery) -> bool:
-    is_open = view.state is EndpointState.ACTIVE and not view.is_half_open
-    return is_open and view.accepts_requests and view.id not in query.exclude
+    is_available = view.state is EndpointState.ACTIVE and not view.is_half_open
+    return is_available and view.accepts_requests and view.id not in query.exclude
 
 
 def _is_ejected(view: EndpointView, now: timedelta) -> bool:
@@ -326,10 +359,10 @@
 
 
 def affinity_of(prompt: str) -> bytes:
-    """Return what decides where a prompt's prefix is likely cached."""
+    """Return the prefix of a prompt by which requests are routed to warm caches."""
     return prompt[:PREFIX_CHARACTERS].encode()
 
 
 def affinity_rank(affinity: bytes, endpoint_id: str) -> bytes:
-    """Return an endpoint's place in the order that a prefix decides."""
+    """Return an endpoint's sort key in the order given by a prefix."""
     return hashlib.blake2b(endpoint_id.encode() + affinity, digest_size=8).digest()
--- a/passtally/service_index.py
+++ b/passtally/service_index.py
@@ -1,4 +1,4 @@
-"""The services that a host knows, and which endpoints each has."""
+"""Index of services and their endpoints on a host."""
 
 import attrs
 
@@ -7,11 +7,11 @@
 
 @attrs.define(kw_only=True)
 class ServiceIndex:
-    """The services and endpoints in force on this host.
+    """The services and endpoints in force on this host, with endpoints by service.
 
     Attributes:
-        services_by_id: The services.
-        endpoints_by_id: The endpoints.
+        services_by_id: The services by id.
+        endpoints_by_id: The endpoints by id.
     """
 
     services_by_id: dict[str, Service] = attrs.field(factory=dict)
@@ -19,7 +19,7 @@
     _endpoint_ids_by_service: dict[str, dict[str, None]] = attrs.field(factory=dict)
 
     def endpoints_of(self, service_id: str) -> list[Endpoint]:
-        """Return the endpoints of one service."""
+        """Return a service's endpoints; empty if the service is unknown."""
         ids = self._endpoint_ids_by_service.get(service_id, ())
         return [self.endpoints_by_id[endpoint_id] for endpoint_id in ids]
 
--- a/passtally/survey.py
+++ b/passtally/survey.py
@@ -1,8 +1,9 @@
-"""Asks endpoints what waits there before a prompt is placed.
+"""Queries endpoints for the number of their waiting runs before a prompt is placed.
 
-In a large fleet a host hears the loads of a few others only, so that several may
-choose one endpoint at the same moment; their prompts are then read one after the
-other. A report lags by some hundred milliseconds, but it counts all hosts' runs.
+In a large fleet a host receives the loads of a few other hosts only, so that several
+may choose one endpoint at the same moment, and their prompts queue for prefill there.
+An endpoint's own report is some hundred milliseconds old, but counts the runs of all
+hosts.
 """
 
 from collections.abc import Callable, Sequence
@@ -14,18 +15,18 @@
 from passtally.fleet import Fleet
 from passtally.retry import LossKind
 
-#: The most endpoints that are asked for one prompt: with two thirds of them idle, one
-#: in 27 prompts finds none idle among three.
-MAX_ASKED = 3
+#: Maximum number of endpoints queried per prompt. With two thirds of them idle,
+#: one prompt in 27 finds no idle one among three.
+MAX_QUERIED = 3
 
 
 @attrs.frozen(kw_only=True)
 class SurveyResult:
-    """What the endpoints answered.
+    """The candidate chosen by a survey, with the replies.
 
     Attributes:
-        endpoint_id: The one where the least waits.
-        waiting_by_id: The runs without output at each one that answered.
+        endpoint_id: Id of the candidate with the fewest waiting runs.
+        waiting_by_id: Number of runs without output at each endpoint that replied.
     """
 
     endpoint_id: str
@@ -33,11 +34,12 @@
 
 
 class Survey:
-    """Asks the best candidates of a placement.
+    """Chooses between the best candidates of a placement by their waiting runs.
 
     Args:
         fleet: The endpoints.
-        is_needed: Returns whether this host knows too little of the others' loads.
+        is_needed: Returns whether this host lacks the loads of some other hosts. If
+            not, no endpoint is queried.
     """
 
     def __init__(self, *, fleet: Fleet, is_needed: Callable[[], bool]) -> None:
@@ -45,9 +47,11 @@
         self._is_needed = is_needed
 
     async def choose(self, ranked: Sequence[str]) -> SurveyResult:
-        """Return the candidate where the least waits; the first if none is asked.
+        """Return the candidate with the fewest waiting runs.
 
-        One that does not answer is passed over: it may have gone a moment ago.
+        Candidates are queried in order until one has none waiting. One that does not
+        reply is skipped, since it may have crashed a moment ago. The first candidate
+        is returned if none is queried or none replies.
 
         Args:
             ranked: The candidates' ids, the best first.
@@ -55,25 +59,30 @@
         waiting_by_id: dict[str, int] = {}
         if not self._is_needed():
             return SurveyResult(endpoint_id=ranked[0], waiting_by_id=waiting_by_id)
-        for endpoint_id in ranked[:MAX_ASKED]:
-            unread = await self._ask(endpoint_id)
-            if unread is not None:
-                waiting_by_id[endpoint_id] = unread
-            if unread == 0:
+        for endpoint_id in ranked[:MAX_QUERIED]:
+            waiting = await self._count_waiting(endpoint_id)
+            if waiting is not None:
+                waiting_by_id[endpoint_id] = waiting
+            if waiting == 0:
                 break
         best = min(waiting_by_id, key=waiting_by_id.__getitem__, default=ranked[0])
         return SurveyResult(endpoint_id=best, waiting_by_id=waiting_by_id)
 
-    async def _ask(self, endpoint_id: str) -> int | None:
+    async def _count_waiting(self, endpoint_id: str) -> int | None:
         live = self._fleet.find(endpoint_id)
         if live is None:
             return None
         try:
-            unread = await live.engine.count_waiting()
+            waiting = await live.engine.count_waiting()
         except AttemptLostError as loss:
-            log_event("survey", "No report.", peer=endpoint_id, why=loss)
+            log_event(
+                "survey",
+                "Waiting runs could not be counted.",
+                peer=endpoint_id,
+                why=loss,
+            )
             if loss.kind is LossKind.REPLACED:
                 self._fleet.record_replaced(live, loss.successor)
             return None
-        # The report may be older than this host's own last runs.
-        return max(unread, live.waiting_streams)
+        # The report may be older than the last runs that this host started there.
+        return max(waiting, live.waiting_streams)
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""The adapter's decoding: settings, configuration, endpoints, requests."""
+"""Decoding by the platform adapter: settings, configuration, endpoints, requests."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -45,7 +45,7 @@
 
 
 class TestSettings:
-    def test_the_file_is_read_into_the_products_settings(self, tmp_path: Path):
+    def test_the_file_is_translated_into_settings(self, tmp_path: Path):
         path = tmp_path / "node.conf"
         path.write_text(LINES)
         settings = read_settings(path)
@@ -67,12 +67,12 @@
         ],
         ids=["byte order mark", "not utf-8", "no text", "crlf"],
     )
-    def test_bytes_that_are_no_text_dont_hide_the_rest(self, tmp_path, data):
+    def test_invalid_bytes_do_not_hide_the_other_lines(self, tmp_path, data):
         path = tmp_path / "node.conf"
         path.write_bytes(data)
         assert read_settings(path) == translate(parse_lines(LINES))
 
-    def test_all_faults_are_told_at_once_by_the_files_own_names(self):
+    def test_all_problems_are_reported_at_once_under_the_files_names(self):
         values = parse_lines(LINES)
         del values["zone"]
         values["listen.front"] = "here"
@@ -105,22 +105,22 @@
             "seeds=10.2.0.13:8748,front-1:8748,,10.1.0.19:8748",
         ],
     )
-    def test_values_that_say_little_dont_keep_a_host_from_starting(self, line):
+    def test_empty_or_unusable_optional_values_do_not_prevent_startup(self, line):
         settings = translate(parse_lines(LINES + line))
         assert settings.grace == timedelta(seconds=8)
         assert len(settings.seeds) == 2
 
-    def test_without_an_own_address_there_are_no_metrics(self):
+    def test_without_an_ip_there_is_no_metrics_listener(self):
         assert translate(parse_lines(LINES + "ip=")).metrics_listen is None
 
-    def test_operators_may_hand_out_keys_of_their_own(self, tmp_path, monkeypatch):
+    def test_operators_may_set_their_own_resume_keys(self, tmp_path, monkeypatch):
         path = tmp_path / "node.conf"
         path.write_text(LINES)
         assert list(read_settings(path).resume_keys) == ["platform"]
         monkeypatch.setenv("PASSTALLY_RESUME_KEYS", "k7:a-secret-of-the-operators")
         assert read_settings(path).resume_keys == {"k7": b"a-secret-of-the-operators"}
 
-    def test_hosts_of_one_installation_share_a_key_and_others_have_another(self):
+    def test_resume_keys_are_shared_within_an_installation_only(self):
         first = translate(parse_lines(LINES))
         other_host = LINES.replace("front-pilar-1", "front-pilar-2")
         second = translate(parse_lines(other_host))
@@ -129,7 +129,7 @@
 
 
 class TestDecode:
-    def test_the_configuration_is_read(self):
+    def test_the_configuration_is_decoded(self):
         routes = decode_routes(msgspec.json.encode(make_config(7)))
         stream = routes.find_route("shop.example", "/draft/1")
         assert routes.version == 7
@@ -142,7 +142,7 @@
         assert routes.services_by_id[ENGINE].capacity_tokens == 55000
         assert not routes.services_by_id[LOOKUPS].keeps_replicas
 
-    def test_the_runs_without_output_are_counted(self):
+    def test_runs_without_output_are_counted(self):
         report = {"models": [], "queued": 2, "running": 3}
         runs = [["q1", 5200, 14, 5], ["q2", 250.0, 0, 5], ["q3", 0, 0, 0]]
         assert count_waiting_runs(msgspec.json.encode(report | {"runs": runs})) == 4
@@ -151,22 +151,22 @@
             count_waiting_runs(msgspec.json.encode(report | {"runs": "none"}))
 
     @pytest.mark.parametrize(
-        ("queued", "running", "with_output", "unread"),
+        ("queued", "running", "with_output", "expected"),
         [(0, 1, 0, 1), (0, 3, 3, 0), (2, 1, 0, 3), (1, 4, 3, 2), (0, 0, 0, 0)],
     )
-    def test_a_run_whose_prompt_is_being_read_counts_and_is_not_listed(
-        self, queued, running, with_output, unread
+    def test_an_unlisted_run_in_prefill_is_counted(
+        self, queued, running, with_output, expected
     ):
-        """Endpoints list only runs that have output.
+        """Guards against counting only listed runs.
 
-        Without it a host that asks takes an endpoint that reads for an idle one, and a
-        prompt waits there for a second.
+        Endpoints list only runs with output. An endpoint in prefill would look idle to
+        a survey, and the next prompt would wait there for a second.
         """
         runs = [["r", 8300, 12, 5]] * with_output
         body = {"models": [], "queued": queued, "running": running, "runs": runs}
-        assert count_waiting_runs(msgspec.json.encode(body)) == unread
+        assert count_waiting_runs(msgspec.json.encode(body)) == expected
 
-    def test_the_parts_that_are_kept_follow_from_the_events(self):
+    def test_the_cached_parts_follow_from_the_events(self):
         events = [
             [1, "+", "", "5c1e", 200, "m"],
             [2, "+", "", "91bd", 410, "m"],
@@ -178,7 +178,7 @@
         with pytest.raises(ValueError, match="events"):
             decode_cached_parts(b"{}")
 
-    def test_a_split_route_has_shares(self):
+    def test_a_traffic_split_is_decoded_into_shares(self):
         config = make_config()
         route = config["routes"][1]
         del route["service"]
@@ -194,11 +194,11 @@
         ]
 
     @pytest.mark.parametrize("spec", [b"{}", b"nonsense", b'{"version": "x"}'])
-    def test_a_configuration_that_does_not_fit_is_refused(self, spec):
+    def test_an_invalid_configuration_is_rejected(self, spec):
         with pytest.raises(ValueError):
             decode_routes(spec)
 
-    def test_an_endpoints_entry_is_read(self):
+    def test_an_endpoint_entry_is_decoded(self):
         spec = {
             "service": "s",
             "address": "10.0.0.1:80",
@@ -212,7 +212,7 @@
         draining = msgspec.json.encode(spec | {"state": "draining"})
         assert decode_endpoint("i-1", draining).state is EndpointState.DRAINING
 
-    def test_copies_are_ordered_by_address_and_named_by_a_handle(self):
+    def test_copy_orders_carry_an_address_and_replies_a_handle(self):
         order = msgspec.json.decode(encode_copy_order("g1", "10.0.0.2:80"))
         assert order == {"id": "g1", "target_version": "10.0.0.2:80"}
         assert decode_copy_handle(b'{"handle": "h1", "created": 3}') == "h1"
@@ -228,7 +228,7 @@
 
 
 class TestRequests:
-    def test_what_the_system_needs_is_read_and_its_own_headers_are_dropped(self):
+    def test_system_headers_are_decoded_and_not_forwarded(self):
         request = decode_request(
             make_request(
                 Host=b"shop.example:80",
@@ -251,8 +251,8 @@
         assert request.position == 12
         assert request.prompt.last_part == "91bd3f06"
         assert (request.prompt.tokens, request.prompt.max_output) == (1460, 80)
-        handed_on = {name for name, _ in request.raw.headers}
-        assert handed_on == {
+        forwarded = {name for name, _ in request.raw.headers}
+        assert forwarded == {
             b"Host",
             b"X-Request-Id",
             b"X-Token-Usage",
@@ -266,7 +266,7 @@
         is_upper=st.lists(st.booleans(), min_size=20, max_size=20),
         times=st.integers(min_value=1, max_value=3),
     )
-    def test_no_spelling_of_a_system_header_goes_on(self, name, is_upper, times):
+    def test_no_spelling_of_a_system_header_is_forwarded(self, name, is_upper, times):
         cased = bytes(
             letter - 32 if upper and 97 <= letter <= 122 else letter
             for letter, upper in zip(name, is_upper, strict=False)
@@ -277,6 +277,6 @@
         assert list(decode_request(request).raw.headers) == [(b"X-Kept", b"v")]
 
     @pytest.mark.parametrize("value", [b"soon", b"-1", b"nan", b"1e99"])
-    def test_a_number_that_is_none_is_refused(self, value):
+    def test_an_invalid_number_is_rejected(self, value):
         with pytest.raises(ValueError):
             decode_request(make_request(X_Deadline_Ms=value))
--- a/tests/test_prompts_found.py
+++ b/tests/test_prompts_found.py
@@ -1,26 +1,29 @@
-"""Where the prompt of an answer is found again in a service of many endpoints.
+"""Finding cached prompts in a service of many endpoints.
 
-The pattern: all hosts are lost, and the callers of a hundred streams come back to hosts
-that know nothing. Each prompt of 5,200 tokens that is read again holds up the streams
-beside it for a second; on played days with trouble 250 to 540 thousand tokens were read
-for nothing. 78 endpoints of five failure domains, placed as 195 hosts do: each hears of
-12 others, and asks up to three endpoints before it chooses.
+Guards against repeated prefill after all hosts were lost: the callers of a hundred
+streams reconnect to hosts that do not know which endpoint ran them. Each repeated
+prefill of a prompt of 5,200 tokens stalls the other streams of its endpoint for a
+second. Replayed days with faults wasted 250,000 to 540,000 tokens of prefill.
+
+The fleet has 78 endpoints in five failure domains. Prompts are placed as by 195 hosts,
+each of which knows the loads of 12 others and queries up to three endpoints before it
+chooses.
 """
 
 import random
 from datetime import timedelta
 
 from passtally.objects import EndpointState
-from passtally.prefix_finder import FAR_ASKED, NEAR_ASKED, choose_likely
+from passtally.prefix_finder import MAX_LOCAL_QUERIES, MAX_REMOTE_QUERIES, choose_likely
 from passtally.routing import EndpointView, RouteQuery, affinity_of, choose_endpoint
 
 DOMAINS = 5
 ENDPOINTS = 78
 PROMPT = 5_200
-#: Prompts that are being read at any moment: 20 a second, one second each.
-READING = 20
-#: The part of them that a host has heard of.
-HEARD = 12 / 194
+#: Number of prompts in prefill at any time: 20 per second, one second each.
+PREFILLING = 20
+#: Share of these prompts that a host knows of.
+KNOWN_SHARE = 12 / 194
 
 
 def make_view(number: int, *, reading: int) -> EndpointView:
@@ -38,11 +41,11 @@
 
 
 def place(prompt: str, domain: str, rng: random.Random) -> str:
-    """Place a prompt as a host of a large fleet does."""
-    busy = rng.choices(range(ENDPOINTS), k=READING)
-    heard = [number for number in busy if rng.random() < HEARD]
+    """Return the endpoint for a prompt, chosen as by a host of a large fleet."""
+    busy = rng.choices(range(ENDPOINTS), k=PREFILLING)
+    known = [number for number in busy if rng.random() < KNOWN_SHARE]
     views = [
-        make_view(number, reading=heard.count(number)) for number in range(ENDPOINTS)
+        make_view(number, reading=known.count(number)) for number in range(ENDPOINTS)
     ]
     query = RouteQuery(
         affinity=affinity_of(prompt),
@@ -56,26 +59,26 @@
 
 
 class TestPromptsFound:
-    def test_nearly_all_are_found_by_few_questions(self):
+    def test_most_prompts_are_found_by_few_local_queries(self):
         rng = random.Random(7)
         views = [make_view(number, reading=0) for number in range(ENDPOINTS)]
-        found_near = 0
+        found_local = 0
         for number in range(500):
             prompt = f"part{number}"
             placed_at = place(prompt, "d1", rng)
-            near, far = choose_likely(views, prompt, failure_domain="d1")
-            assert len(near) == NEAR_ASKED
-            assert len(far) == FAR_ASKED * (DOMAINS - 1)
-            found_near += placed_at in near
-        assert found_near > 0.95 * 500
+            local, remote = choose_likely(views, prompt, failure_domain="d1")
+            assert len(local) == MAX_LOCAL_QUERIES
+            assert len(remote) == MAX_REMOTE_QUERIES * (DOMAINS - 1)
+            found_local += placed_at in local
+        assert found_local > 0.95 * 500
 
-    def test_a_caller_that_comes_back_elsewhere_is_mostly_found_too(self):
+    def test_most_prompts_are_found_if_the_caller_reconnects_in_another_domain(self):
         rng = random.Random(8)
         views = [make_view(number, reading=0) for number in range(ENDPOINTS)]
         found = 0
         for number in range(500):
             prompt = f"part{number}"
             placed_at = place(prompt, "d1", rng)
-            near, far = choose_likely(views, prompt, failure_domain="d3")
-            found += placed_at in (*near, *far)
+            local, remote = choose_likely(views, prompt, failure_domain="d3")
+            found += placed_at in (*local, *remote)
         assert found > 0.8 * 500
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,8 @@
-"""Replicas of runs: where they are kept, renewed, and gone on from."""
+"""Replicas of runs: their placement and renewal, and failover to them.
+
+Also covers the placement of runs by KV memory and prefill backlog, and the resume of
+answers whose entry host was lost.
+"""
 
 import asyncio
 from collections.abc import Sequence
@@ -57,56 +61,56 @@
 QUERY = RouteQuery(affinity=b"p", failure_domain="pilar", tokens=5_700)
 
 
-class TestPlacing:
+class TestChooseEndpoint:
     def choose(self, *views: EndpointView, query: RouteQuery = QUERY) -> str | None:
         return choose_endpoint(query, views, now=NOW).endpoint_id
 
-    def test_a_prompt_goes_where_the_least_is_to_be_read(self):
+    def test_a_prompt_goes_to_the_lowest_prefill_backlog(self):
         busy = view("a", prefill_tokens=5_000)
         assert self.choose(busy, view("b", kv_tokens=9_000)) == "b"
 
-    def test_replicas_in_its_memory_hold_nobody_up_and_streams_do(self):
-        keeper = view("a", kv_tokens=40_000)
+    def test_running_streams_add_cost_and_replicas_do_not(self):
+        replica_view = view("a", kv_tokens=40_000)
         runner = view("b", kv_tokens=10_000, running_streams=1)
         query = attrs.evolve(QUERY, prompt_tokens=5_000)
-        assert self.choose(keeper, runner, query=query) == "a"
+        assert self.choose(replica_view, runner, query=query) == "a"
 
-    def test_holding_up_many_is_worse_than_waiting_for_one(self):
+    def test_stalling_many_streams_costs_more_than_queueing_behind_one(self):
         crowded = view("a", running_streams=3)
         reading = view("b", prefill_tokens=5_000)
         query = attrs.evolve(QUERY, prompt_tokens=5_000)
         assert self.choose(crowded, reading, query=query) == "b"
 
-    def test_what_is_being_read_will_be_held_up_too(self):
+    def test_prompts_in_prefill_count_as_streams_to_be_stalled(self):
         running = view("a", running_streams=1)
         reading = view("b", prefill_tokens=3_000)
         query = attrs.evolve(QUERY, prompt_tokens=5_000)
         assert self.choose(running, reading, query=query) == "a"
 
-    def test_its_own_domain_goes_first_where_all_are_equal(self):
+    def test_the_local_domain_is_preferred_among_equal_endpoints(self):
         assert self.choose(view("a", "tigre"), view("b")) == "b"
 
-    def test_another_domain_is_taken_where_its_own_reads(self):
+    def test_another_domain_is_used_while_the_local_one_is_in_prefill(self):
         assert self.choose(view("a", "tigre"), view("b", prefill_tokens=5_000)) == "a"
 
-    def test_a_full_memory_is_avoided(self):
+    def test_an_endpoint_with_full_kv_memory_is_avoided(self):
         full = view("b", kv_tokens=52_000)
         assert self.choose(view("a", "tigre", kv_tokens=30_000), full) == "a"
 
-    def test_a_little_too_much_in_a_memory_is_better_than_a_long_wait(self):
+    def test_a_small_kv_overflow_costs_less_than_a_long_queue(self):
         full = view("b", kv_tokens=52_000, running_streams=3)
         waiting = view("a", prefill_tokens=28_000, running_streams=1)
         query = attrs.evolve(QUERY, prompt_tokens=5_000)
         assert self.choose(waiting, full, query=query) == "b"
 
-    def test_a_domain_with_a_loss_is_avoided_while_another_is_calm(self):
+    def test_an_unstable_endpoint_is_avoided_while_another_is_stable(self):
         assert self.choose(view("a", "tigre"), view("b", is_unstable=True)) == "a"
         assert self.choose(view("b", is_unstable=True)) == "b"
 
-    def test_one_on_trial_gets_no_second_request(self):
+    def test_a_half_open_endpoint_gets_no_second_request(self):
         assert self.choose(view("a", is_half_open=True)) is None
 
-    def test_equal_ones_are_spread_by_the_prompt(self):
+    def test_prompts_are_spread_over_equal_endpoints(self):
         views = [view(name) for name in "abcd"]
         chosen = {
             self.choose(
@@ -117,15 +121,19 @@
         assert chosen == set("abcd")
 
 
-class TestReplicaPlace:
+class TestChooseReplica:
     def place(self, primary: str, *views: EndpointView) -> str:
         return choose_replica(primary, QUERY, views, now=NOW)
 
-    def test_another_failure_domain_goes_first(self):
+    def test_another_failure_domain_is_preferred(self):
         assert self.place("a", view("a"), view("b"), view("c", "tigre")) == "c"
 
-    def test_of_a_run_elsewhere_the_hosts_own_domain_keeps_it(self):
-        """Whichever side of a cut the host is on, it reaches one of the two."""
+    def test_a_run_in_another_domain_has_its_replica_in_the_hosts_domain(self):
+        """Guards against a partition that cuts the host off from both copies.
+
+        With the run in one domain and its replica in the host's, the host reaches at
+        least one of them.
+        """
         views = [
             view("a", "tigre"),
             view("b", "escobar"),
@@ -133,14 +141,14 @@
         ]
         assert self.place("a", *views) == "c"
 
-    def test_a_crowded_own_domain_keeps_no_more(self):
+    def test_a_busy_local_endpoint_gets_no_replica(self):
         crowded = view("c", kv_tokens=50_000)
         assert self.place("a", view("a", "tigre"), view("b", "escobar"), crowded) == "b"
 
-    def test_its_own_domain_is_better_than_none(self):
+    def test_the_runs_own_domain_is_used_if_there_is_no_other(self):
         assert self.place("a", view("a"), view("b")) == "b"
 
-    def test_there_may_be_none(self):
+    def test_no_replica_is_placed_without_a_usable_endpoint(self):
         assert self.place("a", view("a")) == ""
         leaving = view("b", state=EndpointState.DRAINING)
         assert self.place("a", view("a"), leaving) == ""
@@ -171,7 +179,7 @@
         assert chosen in usable or (chosen == "" and not usable)
 
 
-class TestDecision:
+class TestDecideAfterLoss:
     def decide(self, kind: LossKind, holder: Holder) -> NextStep:
         return decide_after_loss(
             kind,
@@ -184,22 +192,22 @@
     @pytest.mark.parametrize(
         "kind", [LossKind.RESET, LossKind.FROZEN, LossKind.RESUME_MISMATCH]
     )
-    def test_a_run_goes_on_from_its_replica(self, kind):
+    def test_a_lost_run_attaches_to_its_replica(self, kind):
         assert self.decide(kind, Holder.REPLICA) is NextStep.ATTACH
 
     @pytest.mark.parametrize(
         "kind", [LossKind.REFUSED, LossKind.UNREACHABLE, LossKind.REPLACED]
     )
-    def test_a_run_that_never_began_has_nothing_to_go_on_from(self, kind):
+    def test_a_run_that_never_began_has_no_replica_to_attach_to(self, kind):
         assert self.decide(kind, Holder.REPLICA) is NextStep.RESUME
 
-    def test_without_a_holder_the_prompt_is_read_again(self):
+    def test_without_a_replica_or_stream_the_run_is_resumed_by_prefill(self):
         assert self.decide(LossKind.RESET, Holder.NONE) is NextStep.RESUME
         assert self.decide(LossKind.RESET, Holder.ENDPOINT) is NextStep.ATTACH
 
 
-class Engines:
-    """Engines that keep replicas of each other's runs, and fail when told to."""
+class EngineCluster:
+    """Fake engines that keep replicas of each other's runs and fail on demand."""
 
     def __init__(self) -> None:
         self.by_id: dict[str, ReplicaEngine] = {}
@@ -211,21 +219,21 @@
 
 
 class ReplicaEngine:
-    """One of them."""
+    """Fake engine at one endpoint, with flags for its failures."""
 
     reports_load = False
     keeps_streams = False
 
-    def __init__(self, name: str, engines: Engines) -> None:
+    def __init__(self, name: str, engines: EngineCluster) -> None:
         self.name = name
         self.engines = engines
         self.is_dead = False
         self.hangs = False
-        #: Whether it takes no connections, while its streams go on.
+        #: Whether it accepts no new connections while its streams continue.
         self.is_deaf = False
         self.replaced_by = ""
-        self.unread = 0
-        self.kept_prompts: set[str] = set()
+        self.waiting_runs = 0
+        self.cached_prompts: set[str] = set()
         self.replicas: set[str] = set()
         self.copies = 0
         self.streams: list[ReplicaStream] = []
@@ -260,11 +268,11 @@
     async def count_waiting(self) -> int:
         await asyncio.sleep(0.001)
         self._check()
-        return self.unread
+        return self.waiting_runs
 
     async def list_cached_prompts(self) -> tuple[str, ...]:
         self._check()
-        return tuple(self.kept_prompts)
+        return tuple(self.cached_prompts)
 
     async def is_reachable(self) -> bool:
         await asyncio.sleep(0.001)
@@ -304,7 +312,7 @@
 
 
 class ReplicaStream:
-    """One run's events, 30 ms apart; the first takes longer."""
+    """A run's events at intervals of 30 ms; the first takes 200 ms."""
 
     report = None
 
@@ -343,7 +351,7 @@
 
 
 class ByteSink:
-    """Gathers what is passed on, and the longest pause."""
+    """Collects the delivered bytes and measures the longest pause in seconds."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -361,7 +369,7 @@
         self.data += b"".join(delivery.payload for delivery in deliveries)
 
 
-#: Within what time a first output is to come; 5,000 tokens take 0.2 s.
+#: Target time to first output. The prefill of 5,000 tokens takes 0.2 s here.
 TARGET = timedelta(seconds=1)
 WHOLE = b"".join(b"%d " % number for number in range(1, EVENTS + 1))
 BOUNDS = {
@@ -383,7 +391,7 @@
 class World:
     """Four engines in two domains, a fleet and a dispatcher."""
 
-    def __init__(self, *, most: float = 20, asks: bool = False) -> None:
+    def __init__(self, *, most: float = 20, survey_enabled: bool = False) -> None:
         service = Service(id="s", kind=ServiceKind.MODEL, model="m", version="1")
         endpoints = [
             Endpoint(id=name, service="s", url=f"http://{name}", failure_domain=domain)
@@ -395,10 +403,10 @@
             )
         ]
         self.clock = VirtualClock()
-        self.engines = Engines()
+        self.engines = EngineCluster()
         self.catalog = make_catalog([service], endpoints)
         self.successors: list[str] = []
-        #: What other hosts' runs take at each endpoint.
+        #: Load of other hosts' runs at each endpoint.
         self.others_load = TokenLoad()
         self.departures = Departures()
         self.fleet = Fleet(
@@ -421,7 +429,7 @@
                 clock=self.clock,
                 failure_domain="pilar",
                 keeps_replicas=lambda service: True,
-                survey=Survey(fleet=self.fleet, is_needed=lambda: asks),
+                survey=Survey(fleet=self.fleet, is_needed=lambda: survey_enabled),
                 forecast=forecast,
             ),
             limits=RetryLimits(),
@@ -469,7 +477,7 @@
         return self.task
 
     async def running(self, count: int = 5) -> ReplicaEngine:
-        """Wait until some events came; return the engine that runs."""
+        """Wait for ``count`` delivered events; return the engine that runs."""
         while self.sink.data.count(b" ") < count:
             assert not self.task.done(), self.task
             await asyncio.sleep(0.01)
@@ -479,8 +487,8 @@
         return next(e for e in self.engines.by_id.values() if e.replicas)
 
 
-class TestGoingOn:
-    def test_a_dead_engines_run_goes_on_from_the_replica(self):
+class TestFailover:
+    def test_the_run_of_a_dead_engine_continues_from_the_replica(self):
         async def test() -> None:
             world = World()
             task = world.start()
@@ -495,7 +503,7 @@
 
         run_virtually(test())
 
-    def test_a_silent_engines_run_goes_on_within_the_pause_that_users_allow(self):
+    def test_the_run_of_a_silent_engine_continues_within_the_allowed_pause(self):
         async def test() -> None:
             world = World()
             task = world.start()
@@ -509,7 +517,7 @@
 
         run_virtually(test())
 
-    def test_after_the_replicas_loss_the_next_loss_finds_a_copy(self):
+    def test_a_lost_replica_is_replaced_before_the_next_loss(self):
         async def test() -> None:
             world = World()
             task = world.start()
@@ -527,7 +535,7 @@
 
         run_virtually(test())
 
-    def test_word_that_the_replicas_endpoint_ended_brings_a_copy(self):
+    def test_a_reported_departure_of_the_replicas_endpoint_triggers_a_copy(self):
         async def test() -> None:
             world = World()
             task = world.start()
@@ -566,7 +574,7 @@
 
         run_virtually(test())
 
-    def test_a_copy_is_let_go_after_a_whole_answer(self):
+    def test_a_copy_is_dropped_after_a_complete_answer(self):
         async def test() -> None:
             world = World()
             task = world.start()
@@ -584,7 +592,7 @@
 
         run_virtually(test())
 
-    def test_where_both_are_lost_the_prompt_is_read_once_more(self):
+    def test_losing_run_and_replica_costs_another_prefill(self):
         async def test() -> None:
             world = World()
             task = world.start()
@@ -597,7 +605,7 @@
 
         run_virtually(test())
 
-    def test_engines_out_of_reach_cost_no_attempt_and_no_budget(self):
+    def test_unreachable_engines_cost_no_attempt_and_no_retry_budget(self):
         async def test() -> None:
             world = World(most=0)
             for name in ("a1", "a2", "b1"):
@@ -607,20 +615,25 @@
 
         run_virtually(test())
 
-    def test_a_replaced_engine_is_told_of_and_never_asked_again(self):
+    def test_a_replaced_engine_is_reported_and_gets_no_more_requests(self):
         async def test() -> None:
             world = World()
             for engine in world.engines.by_id.values():
                 engine.replaced_by = f"new-{engine.name}"
             with pytest.raises(RefusedError):
                 await world.start()
-            assert set(world.successors) == {"new-a1", "new-a2", "new-b1", "new-b2"}
+            assert set(world.successors) == {
+                "new-a1",
+                "new-a2",
+                "new-b1",
+                "new-b2",
+            }
             states = {item.state for item in world.fleet.views("s")}
             assert states == {EndpointState.DRAINING}
 
         run_virtually(test())
 
-    def test_what_runs_take_is_counted_out_again(self):
+    def test_token_counts_return_to_zero_after_a_run(self):
         async def test() -> None:
             world = World()
             task = world.start()
@@ -634,13 +647,13 @@
         run_virtually(test())
 
 
-class TestTakenUp:
-    def test_an_answer_goes_on_where_its_prompt_is_kept(self):
+class TestResumeAtAnotherHost:
+    def test_an_answer_resumes_where_its_prompt_is_cached(self):
         async def test() -> None:
             for name in ("a1", "a2", "b1", "b2"):
                 world = World()
                 world.fleet.find(name)
-                world.engines.by_id[name].kept_prompts = {"other", "p1"}
+                world.engines.by_id[name].cached_prompts = {"other", "p1"}
                 world.start(position=7)
                 await world.running(1)
                 assert world.engines.opened == [(name, "read")]
@@ -648,11 +661,11 @@
 
         run_virtually(test())
 
-    def test_one_that_does_not_answer_is_not_waited_for(self):
+    def test_an_unreachable_endpoint_does_not_block_the_resume(self):
         async def test() -> None:
             world = World()
             world.fleet.find("a1")
-            world.engines.by_id["a1"].kept_prompts = {"p1"}
+            world.engines.by_id["a1"].cached_prompts = {"p1"}
             world.engines.by_id["a1"].die()
             world.start(position=7)
             await world.running(1)
@@ -660,7 +673,7 @@
 
         run_virtually(test())
 
-    def test_one_with_too_little_time_left_is_refused_at_once(self):
+    def test_an_answer_with_too_little_time_left_is_refused_at_once(self):
         async def test() -> None:
             world = World()
             for _ in range(MIN_SAMPLES):
@@ -675,7 +688,7 @@
 
         run_virtually(test())
 
-    def test_one_with_time_enough_is_gone_on_with(self):
+    def test_an_answer_with_enough_time_left_is_resumed(self):
         async def test() -> None:
             world = World()
             for _ in range(MIN_SAMPLES):
@@ -685,14 +698,14 @@
 
         run_virtually(test())
 
-    def test_a_new_prompt_is_not_looked_for(self):
+    def test_caches_are_not_searched_for_a_new_prompt(self):
         async def test() -> None:
             world = World()
             for name in ("a1", "a2"):
                 world.fleet.find(name)
-                world.engines.by_id[name].unread = 1
+                world.engines.by_id[name].waiting_runs = 1
             world.fleet.find("b1")
-            world.engines.by_id["b1"].kept_prompts = {"p1"}
+            world.engines.by_id["b1"].cached_prompts = {"p1"}
             world.start()
             await world.running(1)
             assert world.engines.opened[0][0] in ("a1", "a2")
@@ -700,8 +713,11 @@
         run_virtually(test())
 
 
-class TestCrowded:
-    """Each endpoint reads a whole second's prompts of other hosts."""
+class TestPrefillBacklog:
+    """Each endpoint has a prefill backlog of one second from other hosts' prompts.
+
+    Guards against new streams that start too late for their target and stall others.
+    """
 
     async def make_world(self) -> World:
         world = World()
@@ -710,7 +726,7 @@
         world.others_load = TokenLoad(reading=25_000)
         return world
 
-    def test_a_new_stream_that_could_not_begin_in_time_is_refused_at_once(self):
+    def test_a_new_stream_that_would_miss_its_target_is_refused_at_once(self):
         async def test() -> None:
             world = await self.make_world()
             opened = len(world.engines.opened)
@@ -725,7 +741,7 @@
 
         run_virtually(test())
 
-    def test_one_that_has_begun_goes_on(self):
+    def test_a_stream_that_has_begun_is_resumed(self):
         async def test() -> None:
             world = await self.make_world()
             await world.start(position=10)
@@ -733,7 +749,7 @@
 
         run_virtually(test())
 
-    def test_one_that_can_begin_in_time_is_taken(self):
+    def test_a_new_stream_that_meets_its_target_is_accepted(self):
         async def test() -> None:
             world = await self.make_world()
             world.others_load = TokenLoad(reading=15_000)
@@ -742,7 +758,7 @@
 
         run_virtually(test())
 
-    def test_a_host_that_has_seen_nothing_refuses_nothing(self):
+    def test_a_host_without_samples_refuses_nothing(self):
         async def test() -> None:
             world = World()
             world.others_load = TokenLoad(reading=25_000)
@@ -753,36 +769,40 @@
 
 
 class TestSurvey:
-    """The pilar engines a1, a2 go first; the tigre ones b1, b2 count as far."""
+    """The local engines a1 and a2 (pilar) rank before the remote b1 and b2 (tigre).
+
+    Guards against prompts that queue at a busy endpoint while another is idle, since
+    the host does not know the loads of all other hosts.
+    """
 
     async def place(self, waiting_by_id: dict[str, int | None], **options) -> str:
         world = World(**options)
-        for endpoint_id, unread in waiting_by_id.items():
+        for endpoint_id, waiting_runs in waiting_by_id.items():
             world.fleet.find(endpoint_id)
             engine = world.engines.by_id[endpoint_id]
-            engine.unread = unread or 0
-            engine.is_dead = unread is None
+            engine.waiting_runs = waiting_runs or 0
+            engine.is_dead = waiting_runs is None
         task = world.start()
         await world.running(1)
         task.cancel()
         return world.engines.opened[0][0]
 
-    def test_the_first_one_where_nothing_waits_is_taken(self):
+    def test_the_first_endpoint_without_waiting_runs_is_chosen(self):
         loads = {"a1": 2, "a2": 0}
-        assert run_virtually(self.place(loads, asks=True)) == "a2"
+        assert run_virtually(self.place(loads, survey_enabled=True)) == "a2"
 
-    def test_where_something_waits_everywhere_the_least_is_taken(self):
+    def test_the_fewest_waiting_runs_win_if_no_endpoint_is_idle(self):
         loads = {"a1": 3, "a2": 3, "b1": 1, "b2": 1}
-        chosen = run_virtually(self.place(loads, asks=True))
+        chosen = run_virtually(self.place(loads, survey_enabled=True))
         assert chosen in ("b1", "b2")
 
-    def test_one_that_does_not_answer_is_passed_over_without_an_attempt(self):
+    def test_an_unreachable_candidate_is_skipped_without_an_attempt(self):
         loads = {"a1": None, "a2": 1, "b1": 1, "b2": 1}
-        assert run_virtually(self.place(loads, asks=True)) == "a2"
+        assert run_virtually(self.place(loads, survey_enabled=True)) == "a2"
 
-    def test_one_whose_address_another_has_is_told_of_without_an_attempt(self):
+    def test_a_replaced_candidate_is_reported_without_an_attempt(self):
         async def test() -> None:
-            world = World(asks=True)
+            world = World(survey_enabled=True)
             for endpoint_id in ("a1", "a2"):
                 world.fleet.find(endpoint_id)
                 world.engines.by_id[endpoint_id].replaced_by = f"new-{endpoint_id}"
@@ -794,7 +814,7 @@
 
         run_virtually(test())
 
-    def test_a_host_that_hears_all_others_asks_nobody(self):
+    def test_no_endpoint_is_queried_if_all_loads_are_known(self):
         placed = {
             run_virtually(self.place({"a1": load, "a2": 9 - load})) for load in (0, 9)
         }
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: the longest prefix, shares by weight, keys, versions that only rise."""
+"""Routes: longest-prefix match, weighted traffic split, API keys, rising versions."""
 
 from collections import Counter
 from datetime import timedelta
@@ -42,24 +42,24 @@
 
 
 class TestRouteSet:
-    def test_the_longest_prefix_of_the_host_decides(self):
+    def test_the_longest_path_prefix_of_the_host_matches(self):
         assert ROUTES.find_route("shop.example", "/a/b/c").name == "long"
         assert ROUTES.find_route("shop.example", "/a/bc").name == "short"
         assert ROUTES.find_route("SHOP.example", "/a/b").name == "short"
         assert ROUTES.find_route("other.example", "/a/b/c").name == "other"
 
-    def test_what_fits_no_route_has_none(self):
+    def test_a_request_without_a_matching_route_finds_none(self):
         assert ROUTES.find_route("shop.example", "/b/") is None
         assert ROUTES.find_route("none.example", "/a/") is None
 
-    def test_a_key_names_its_workspace(self):
+    def test_a_key_identifies_its_workspace(self):
         assert ROUTES.find_workspace("k2").workspace == "w1"
         assert ROUTES.find_workspace("k9") is None
         assert ROUTES.needs_keys
 
 
 class TestShares:
-    def test_requests_are_shared_by_weight(self):
+    def test_requests_are_split_by_weight(self):
         shares = (
             ServiceShare(service="a", weight=90),
             ServiceShare(service="b", weight=10),
@@ -80,8 +80,8 @@
         assert sum(weights) == 0 or weights[int(chosen)] > 0
 
 
-class TestRepeats:
-    def test_what_may_be_repeated(self):
+class TestRetries:
+    def test_safe_calls_and_resumable_streams_are_retried(self):
         assert make_route("r", "/").is_repeatable
         assert not make_route("r", "/", kind=CallKind.UNSAFE).is_repeatable
         assert not make_route("r", "/", kind=CallKind.STREAM).is_repeatable
@@ -90,20 +90,20 @@
 
 
 class TestVersions:
-    def test_of_another_store_the_next_set_counts_at_any_version(self):
-        in_force = ActiveRoutes()
-        in_force.take(RouteSet(version=9, routes=()))
-        in_force.renew()
-        assert in_force.current.version == 9
-        assert in_force.take(RouteSet(version=3, routes=()))
-        assert not in_force.take(RouteSet(version=2, routes=()))
+    def test_the_first_set_of_another_store_is_applied_at_any_version(self):
+        active_routes = ActiveRoutes()
+        active_routes.take(RouteSet(version=9, routes=()))
+        active_routes.renew()
+        assert active_routes.current.version == 9
+        assert active_routes.take(RouteSet(version=3, routes=()))
+        assert not active_routes.take(RouteSet(version=2, routes=()))
 
     @given(st.lists(st.integers(1, 50), min_size=1))
-    def test_the_version_in_force_never_goes_back(self, versions):
-        in_force = ActiveRoutes()
+    def test_the_active_version_never_decreases(self, versions):
+        active_routes = ActiveRoutes()
         highest = 0
         for version in versions:
-            taken = in_force.take(RouteSet(version=version, routes=()))
-            assert taken == (version > highest)
+            is_applied = active_routes.take(RouteSet(version=version, routes=()))
+            assert is_applied == (version > highest)
             highest = max(highest, version)
-            assert in_force.current.version == highest
+            assert active_routes.current.version == highest
