--- a/passtally/api.py
+++ b/passtally/api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP API: who may call, and how refusals are written."""
+"""Helpers of the HTTP APIs: authentication, request headers and error answers."""
 
 import hmac
 import math
@@ -23,16 +23,16 @@
 
 
 def read_token(request: web.Request) -> str | None:
-    """Return the token that a request brings, or None where it brings none."""
+    """Return the bearer token of a request, or None if it has none."""
     scheme, _, token = request.headers.get("Authorization", "").partition(" ")
     return token.strip() if scheme.lower() == "bearer" else None
 
 
 def find_workspace(catalog: Catalog, request: web.Request) -> Workspace:
-    """Return the workspace whose token a request brings.
+    """Return the workspace whose token a request carries.
 
     Raises:
-        RefusedError: It brings none, or an unknown one.
+        RefusedError: The token is missing or unknown.
     """
     token = read_token(request)
     digest = digest_token(token or "")
@@ -43,7 +43,7 @@
     if token is None or not known:
         raise refuse(
             Code.UNAUTHENTICATED,
-            "Bring a workspace's token as 'Authorization: Bearer TOKEN'.",
+            "Send a workspace's token as 'Authorization: Bearer TOKEN'.",
             status=401,
             step="authenticate",
         )
@@ -56,14 +56,14 @@
     """Return a service that a workspace may use.
 
     Raises:
-        RefusedError: There is none of this name for it.
+        RefusedError: The service does not exist, or the workspace may not use it.
     """
     service = catalog.services_by_id.get(service_id)
     allowed = not workspace.services or service_id in workspace.services
     if service is None or not allowed:
         raise refuse(
             code,
-            f"There is no {service_id!r} for this workspace.",
+            f"The workspace has no model or service {service_id!r}.",
             status=404,
             step="authorize",
         )
@@ -73,10 +73,10 @@
 def read_admission(
     request: web.Request, workspace: Workspace, service: Service, *, request_id: str
 ) -> AdmissionRequest:
-    """Return what asks to be admitted for a request.
+    """Return the admission request for an HTTP request.
 
     Raises:
-        RefusedError: A header can't be read.
+        RefusedError: The class or timeout header is invalid.
     """
     name = request.headers.get(CLASS_HEADER, service.request_class).lower()
     if name not in REQUEST_CLASSES:
@@ -97,14 +97,14 @@
 
 
 def bad_header(name: str, wanted: str) -> RefusedError:
-    """Return the refusal for a header that can't be read."""
+    """Return the error for a header with an invalid value."""
     return refuse(
         Code.BAD_REQUEST, f"{name} must be {wanted}.", status=400, step="parse"
     )
 
 
 def failure_response(failure: Failure) -> web.Response:
-    """Return the response that carries a failure."""
+    """Return the error response for a failure, with Retry-After where it applies."""
     headers = {}
     if failure.retry_after is not None:
         seconds = math.ceil(failure.retry_after.total_seconds())
@@ -122,7 +122,7 @@
 
 @web.middleware
 async def answer_failures(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Turn every error of a handler into one clear JSON answer."""
+    """Answer every error of a handler with a JSON error body."""
     try:
         return await handler(request)
     except RefusedError as error:
@@ -138,9 +138,13 @@
         )
         return failure_response(error.failure)
     except web.HTTPRequestEntityTooLarge:
-        return _plain_failure(Code.BODY_TOO_LARGE, "The body is too large.", 413)
+        return _not_run_response(
+            Code.BODY_TOO_LARGE, "The body exceeds the host's '--max-body'.", 413
+        )
     except (web.HTTPNotFound, web.HTTPMethodNotAllowed) as error:
-        return _plain_failure(Code.UNKNOWN_PATH, "There is no such path.", error.status)
+        return _not_run_response(
+            Code.UNKNOWN_PATH, "There is no such path or method.", error.status
+        )
     except ClientConnectionResetError:
         raise
     except web.HTTPException:
@@ -157,7 +161,7 @@
         return failure_response(failure)
 
 
-def _plain_failure(code: Code, message: str, status: int) -> web.Response:
+def _not_run_response(code: Code, message: str, status: int) -> web.Response:
     return failure_response(
         Failure(
             code=code,
--- a/passtally/at_most_once.py
+++ b/passtally/at_most_once.py
@@ -1,4 +1,4 @@
-"""Runs calls that may not be repeated at most once, across hosts and retries."""
+"""At-most-once execution of calls with an idempotency key, across all hosts."""
 
 import asyncio
 from collections import OrderedDict
@@ -16,11 +16,12 @@
 from passtally.peers import PeerError, Peers
 from passtally.plain import PlainAnswer, PlainCall, PlainCaller
 
-#: A holder that slept longer than this between claim and send gives the claim
-#: back. It must be far below the retention of claims.
+#: Maximum time between claim and send. A holder that was paused for longer voids its
+#: claim instead of sending. It must be far below the retention time of claims, as two
+#: sends of one key are kept apart only by the retention time less this window.
 SEND_WINDOW = timedelta(seconds=5)
 RETRY_AFTER = timedelta(seconds=1)
-RESULTS_KEPT = 1000
+MAX_RESULTS = 1000
 MAX_RESULT_BYTES = 64 * 1024
 REPLAYED_HEADER = "Idempotency-Replayed"
 
@@ -32,13 +33,16 @@
 
 
 class AtMostOnceCaller:
-    """Claims a call's key before it is sent.
+    """Forwards calls, and claims the idempotency key of each call before the send.
+
+    Calls that are repeatable or have no key are forwarded without a claim.
 
     Args:
-        caller: Passes calls on.
-        claims: Claims keys.
+        caller: The forwarder of calls.
+        claims: The claims of all hosts.
         clock: The clock.
-        peers: The links; a holder is asked how its call ended.
+        peers: The links to other hosts, over which a claim's holder is asked for the
+            answer to its call.
     """
 
     def __init__(
@@ -48,18 +52,19 @@
         self._claims = claims
         self._clock = clock
         self._peers = peers
-        peers.on(FetchResult, self._answer_result)
+        peers.on(FetchResult, self._on_fetch_result)
         self._results_by_digest: OrderedDict[bytes, _Result] = OrderedDict()
         self._running: set[asyncio.Task[PlainAnswer]] = set()
 
     async def call(self, call: PlainCall) -> PlainAnswer:
-        """Pass one call on; see :meth:`PlainCaller.call`.
+        """Forward a call; see :meth:`PlainCaller.call`.
 
-        It goes on to its end also when its caller leaves, so that a retry can
-        be told how it ended.
+        The call continues when its caller disconnects, so that the caller's retry can
+        get the answer.
 
         Raises:
-            RefusedError: It was refused or lost; its outcome tells which.
+            RefusedError: The call was refused or lost; the outcome states whether it
+                may have run.
         """
         task = asyncio.create_task(self._call(call))
         self._running.add(task)
@@ -78,33 +83,38 @@
         )
         known = self._results_by_digest.get(claim.digest)
         if known is not None:
-            return _replay(known, claim)
+            return _replay_answer(known, claim)
         claimed_at = self._clock.monotonic()
         result = await self._claims.claim(claim)
-        self._log(call, result)
+        self._log_claim(call, result)
         if result.verdict is ClaimVerdict.HELD:
             return await self._fetch(claim, result.holder)
         self._check(call, claim, result)
         return await self._send(call, claim, claimed_at)
 
     async def _fetch(self, claim: Claim, holder: str) -> PlainAnswer:
-        """Return the answer that another host has for the key.
+        """Return the answer that the holder of the claim has stored.
 
         Raises:
-            RefusedError: It has none, or none yet, or is out of reach.
+            RefusedError: The holder is unreachable or has no stored answer, or the key
+                belongs to another request.
         """
         try:
-            found = await self._peers.ask(holder, FetchResult(claim.digest))
+            fetched = await self._peers.ask(holder, FetchResult(claim.digest))
         except PeerError as error:
-            raise _key_in_use(holder) from error
-        if not isinstance(found, ResultFound) or not found.status:
-            raise _key_in_use(holder)
+            raise _key_in_use_error(holder) from error
+        if not isinstance(fetched, ResultFound) or not fetched.status:
+            raise _key_in_use_error(holder)
         answer = PlainAnswer(
-            status=found.status, headers=CIMultiDict(found.headers), body=found.body
+            status=fetched.status,
+            headers=CIMultiDict(fetched.headers),
+            body=fetched.body,
+        )
+        return _replay_answer(
+            _Result(body_digest=fetched.body_digest, answer=answer), claim
         )
-        return _replay(_Result(body_digest=found.body_digest, answer=answer), claim)
 
-    async def _answer_result(self, message: FetchResult) -> ResultFound:
+    async def _on_fetch_result(self, message: FetchResult) -> ResultFound:
         known = self._results_by_digest.get(message.digest)
         if known is None:
             return ResultFound(status=0)
@@ -117,21 +127,26 @@
         )
 
     def _check(self, call: PlainCall, claim: Claim, result: ClaimResult) -> None:
-        """Raise unless the call may be sent under its claim."""
+        """Check that the call may be sent under its claim.
+
+        Raises:
+            RefusedError: The key belongs to another request, or could not be claimed
+                and the service doesn't deduplicate calls.
+        """
         if result.verdict is ClaimVerdict.GRANTED:
             return
         if result.verdict is ClaimVerdict.MISMATCH:
-            raise _key_reused(result.holder)
+            raise _key_reused_error(result.holder)
         if not call.service.deduplicates:
             self._claims.void(claim)
-            raise _claims_unavailable()
+            raise _claims_unavailable_error()
 
     async def _send(
         self, call: PlainCall, claim: Claim, claimed_at: timedelta
     ) -> PlainAnswer:
         def check_window() -> None:
             if self._clock.monotonic() - claimed_at > SEND_WINDOW:
-                raise _claim_lapsed()
+                raise _claim_lapsed_error()
 
         try:
             answer = await self._caller.call(call, before_send=check_window)
@@ -139,18 +154,18 @@
             if error.failure.outcome is Outcome.NOT_RUN:
                 self._claims.void(claim)
             raise
-        self._keep(claim, answer)
+        self._store_result(claim, answer)
         return answer
 
-    def _keep(self, claim: Claim, answer: PlainAnswer) -> None:
+    def _store_result(self, claim: Claim, answer: PlainAnswer) -> None:
         if len(answer.body) > MAX_RESULT_BYTES:
             return
         result = _Result(body_digest=claim.body_digest, answer=answer)
         self._results_by_digest[claim.digest] = result
-        if len(self._results_by_digest) > RESULTS_KEPT:
+        if len(self._results_by_digest) > MAX_RESULTS:
             self._results_by_digest.popitem(last=False)
 
-    def _log(self, call: PlainCall, result: ClaimResult) -> None:
+    def _log_claim(self, call: PlainCall, result: ClaimResult) -> None:
         log_decision(
             "admit",
             request=call.id,
@@ -161,18 +176,18 @@
         )
 
 
-def _replay(known: _Result, claim: Claim) -> PlainAnswer:
+def _replay_answer(known: _Result, claim: Claim) -> PlainAnswer:
     if known.body_digest != claim.body_digest:
-        raise _key_reused("")
+        raise _key_reused_error("")
     headers = known.answer.headers.copy()
     headers[REPLAYED_HEADER] = "true"
     return attrs.evolve(known.answer, headers=headers)
 
 
-def _key_in_use(holder: str) -> RefusedError:
+def _key_in_use_error(holder: str) -> RefusedError:
     return refuse(
         Code.KEY_IN_USE,
-        "A request with this key was sent before; how it ended is not known here.",
+        "A request with this key was sent before, and its result is not available.",
         status=409,
         step="claim",
         peer=holder,
@@ -181,7 +196,7 @@
     )
 
 
-def _key_reused(holder: str) -> RefusedError:
+def _key_reused_error(holder: str) -> RefusedError:
     return refuse(
         Code.KEY_REUSED,
         "This key was used for another request.",
@@ -191,7 +206,7 @@
     )
 
 
-def _claims_unavailable() -> RefusedError:
+def _claims_unavailable_error() -> RefusedError:
     return refuse(
         Code.CLAIMS_UNAVAILABLE,
         "The key can't be claimed now, so the call was not sent.",
@@ -202,10 +217,10 @@
     )
 
 
-def _claim_lapsed() -> RefusedError:
+def _claim_lapsed_error() -> RefusedError:
     return refuse(
         Code.CLAIM_LAPSED,
-        "This host slept after claiming the key, so the call was not sent.",
+        "This host was paused after it claimed the key, so the call was not sent.",
         status=503,
         step="send",
         retry_after=RETRY_AFTER,
--- a/passtally/decision.py
+++ b/passtally/decision.py
@@ -1,20 +1,22 @@
-"""The decision log: one line for each decision, with what led to it."""
+"""Structured log of events and decisions, one line each."""
 
 from eliot import log_message
 
 
 def log_event(part: str, sentence: str, **fields: object) -> None:
-    """Log a short sentence under a part's fixed prefix.
+    """Log an event of one part of the program.
 
     Args:
-        part: The part's name; the line's ``message_type`` is ``passtally:PART``.
-        sentence: What happened.
-        fields: What it concerns; values are logged as text unless plain.
+        part: The name of the part, which prefixes the message. The ``message_type`` is
+            ``passtally:PART``.
+        sentence: A short sentence that states what happened.
+        fields: The fields of the event. Values other than numbers, booleans, strings,
+            None and lists of these are logged as text.
     """
     log_message(
         message_type=f"passtally:{part}",
         message=f"{part}: {sentence}",
-        **{name: _plain(value) for name, value in fields.items()},
+        **{name: _to_loggable(value) for name, value in fields.items()},
     )
 
 
@@ -30,12 +32,12 @@
     """Log one routing, admission, retry or placement decision.
 
     Args:
-        kind: What was decided: ``route``, ``admit``, ``retry`` or ``place``.
-        request: The request, generation or plan concerned.
-        choice: What was chosen.
-        reason: Why, in a short phrase.
-        candidates: What was compared.
-        fields: What else led to it.
+        kind: The kind of decision: ``route``, ``admit``, ``retry`` or ``place``.
+        request: The id of the request, generation or plan.
+        choice: The chosen option.
+        reason: The reason for the choice, as a short phrase.
+        candidates: The options that were compared.
+        fields: Further inputs of the decision.
     """
     log_event(
         kind,
@@ -48,9 +50,9 @@
     )
 
 
-def _plain(value: object) -> object:
+def _to_loggable(value: object) -> object:
     if value is None or isinstance(value, (bool, int, float, str)):
         return value
     if isinstance(value, (tuple, list)):
-        return [_plain(item) for item in value]
+        return [_to_loggable(item) for item in value]
     return str(value)
--- a/passtally/fetch.py
+++ b/passtally/fetch.py
@@ -1,4 +1,4 @@
-"""One HTTP call whose whole answer is read, with a time limit."""
+"""The interface of HTTP calls whose answers are read completely, within a timeout."""
 
 from collections.abc import Mapping, Sequence
 from datetime import timedelta
@@ -8,12 +8,12 @@
 
 
 class FetchError(Exception):
-    """No whole answer came; whether the call was heard is not known."""
+    """No complete answer was received; the peer may have processed the call."""
 
 
 @attrs.frozen(kw_only=True)
 class Fetched:
-    """An answer: its status, its body and its headers."""
+    """The complete answer to an HTTP call."""
 
     status: int
     body: bytes
@@ -21,7 +21,7 @@
 
 
 def find_header(headers: Sequence[tuple[bytes, bytes]], name: bytes) -> bytes | None:
-    """Return a header's value by its name in lower case, or None."""
+    """Return the first value of a header, by its lower-case name, or None."""
     for known, value in headers:
         if known.lower() == name:
             return value
@@ -29,7 +29,7 @@
 
 
 class Fetcher(Protocol):
-    """Makes calls. It follows no redirects and repeats nothing."""
+    """An HTTP client that follows no redirects and retries nothing."""
 
     async def fetch(
         self,
@@ -41,17 +41,17 @@
         headers: Mapping[str, str] | None = None,
         data: bytes = b"",
     ) -> Fetched:
-        """Make one call.
+        """Send one call and return the complete answer.
 
         Args:
             method: The HTTP method.
-            url: Whom to call, without a query.
-            timeout: The time limit for all of it; a body that keeps coming may take
-                longer.
-            params: The query.
-            headers: Headers besides those of the connection.
-            data: The body.
+            url: The URL, without a query.
+            timeout: The limit on the total time. A body of which more keeps arriving
+                may take longer.
+            params: The query parameters.
+            headers: The request headers, without those of the connection.
+            data: The request body.
 
         Raises:
-            FetchError: No whole answer came in time.
+            FetchError: No complete answer was received in time.
         """
--- a/passtally/front.py
+++ b/passtally/front.py
@@ -1,4 +1,4 @@
-"""Serves requests that the routes lead to services: calls and resumable streams."""
+"""Handling of requests by the routes: authentication, admission, calls and streams."""
 
 import asyncio
 import contextlib
@@ -33,31 +33,31 @@
 from passtally.plain import PlainAnswer, PlainCall, PlainCaller
 from passtally.routes import ActiveRoutes, CallKind, Route, RouteSet
 
-#: When a caller is to come back after a refusal that says nothing else.
+#: Retry-After of refusals that state no other time.
 RETRY_AFTER = timedelta(seconds=1)
-#: The part of a request's target for which admission may hold it back. The users'
-#: rules price a refusal that comes later than this.
-ADMISSION_PART = 0.2
-#: A repeatable call goes on to another endpoint after this many times its target:
-#: most answers take a quarter of it, and the slowest less than all of it.
+#: Share of a request's target time that it may wait for admission. The callers' rules
+#: penalize a refusal that comes later.
+ADMISSION_SHARE = 0.2
+#: Multiple of the target time after which a repeatable call fails over to another
+#: endpoint. Most answers take a quarter of the target, and the slowest less than all.
 PATIENCE_TARGETS = 2.0
-#: For so long after its start a host lets requests wait until it knows its routes and
-#: endpoints. A listing takes some 10 ms, a peer's answer less than 100 ms; a platform
-#: that has not answered by then is away, and requests are refused at once.
+#: Time after the start of a host in which requests wait for its routes and endpoints. A
+#: listing takes about 10 ms, a peer's answer less than 100 ms. A platform that has not
+#: answered by the end is unreachable, and further requests are refused at once.
 COLD_START = timedelta(milliseconds=600)
-#: The engines' own default priority.
+#: Default priority of the engines.
 PRIORITY = 5
 
 
 @attrs.frozen(kw_only=True)
 class Prompt:
-    """What a caller says of its prompt without showing it.
+    """The properties of a prompt that its caller states, without the prompt itself.
 
     Attributes:
-        last_part: What names its last part, which belongs to this request alone
-            or to its session.
-        tokens: Its length.
-        max_output: The most tokens of the answer.
+        last_part: The name of the prompt's last part, which belongs to this request
+            alone or to its session.
+        tokens: The length of the prompt in tokens.
+        max_output: The maximum length of the answer in tokens.
     """
 
     last_part: str
@@ -67,17 +67,17 @@
 
 @attrs.frozen(kw_only=True)
 class FrontRequest:
-    """One request, decoded from the wire.
+    """A request as decoded from the wire.
 
     Attributes:
         id: The caller's id of this try.
-        host: The host name it brings.
-        path: Its path, without the query.
+        host: The requested host name.
+        path: The path, without the query.
         key: The key of a workspace, or None.
-        time_left: How long its caller still waits, if it said so.
-        position: The last event of a stream that its caller has.
-        prompt: What it says of its prompt, if anything.
-        raw: What is handed on.
+        time_left: The time until the caller gives up, if stated.
+        position: The number of the last stream event that the caller has received.
+        prompt: The stated properties of the prompt, if any.
+        raw: The method, target, headers and body to forward.
     """
 
     id: str
@@ -91,34 +91,34 @@
 
 
 class Responder(Protocol):
-    """Where the answer to one request goes."""
+    """The writer of the answer to one request."""
 
     async def answer(self, answer: PlainAnswer) -> None:
-        """Pass on an endpoint's whole answer."""
+        """Write the complete answer of an endpoint."""
 
     async def refuse(self, failure: Failure) -> None:
-        """Answer with a refusal of this host's own."""
+        """Write a refusal by this host."""
 
     async def begin(self, head: ResponseHead) -> None:
-        """Pass on the head of a stream."""
+        """Write the head of a stream."""
 
     async def write(self, data: bytes) -> None:
-        """Pass on a part of a stream.
+        """Write a part of a stream.
 
         Raises:
-            ConnectionError: The caller left.
+            ConnectionError: The caller disconnected.
         """
 
     async def end(self) -> None:
-        """Mark a stream as complete."""
+        """Mark the stream as complete."""
 
     def abort(self) -> None:
-        """End a stream so that it can't look complete."""
+        """Abort the stream, so that it can't be taken for complete."""
 
 
 @attrs.frozen(kw_only=True)
 class _Admitted:
-    """A request whose route and workspace are known."""
+    """A request with its route, service, workspace and deadline."""
 
     request: FrontRequest
     route: Route
@@ -129,20 +129,21 @@
 
 
 class Front:
-    """Serves requests by the routes in force.
+    """Serves requests by the active routes.
 
     Args:
-        routes: The routes.
-        dispatcher: Runs streams.
-        caller: Passes calls on.
-        gate: Admits requests.
-        drain: Counts the requests that are open.
+        routes: The active routes.
+        dispatcher: The dispatcher of streams.
+        caller: The forwarder of calls.
+        gate: The admission control.
+        drain: The tracker of open requests.
         clock: The clock.
-        metrics: Where metrics go.
-        learned: Set once the routes and some endpoints are known.
-        forecast: Tells how long streams usually take.
-        guard: Refuses requests that end their endpoints.
-        is_behind: Returns whether newer routes are known to be in force elsewhere.
+        metrics: The metrics sink.
+        learned: The event that is set once the routes and some endpoints are known.
+        forecast: The forecast of the duration of streams.
+        guard: The quarantine of requests that crash endpoints.
+        is_behind: A callback that returns whether newer routes than those of this host
+            are known to exist.
     """
 
     def __init__(
@@ -164,7 +165,7 @@
         self._is_behind = is_behind
         self._forecast = forecast
         self._guard = guard
-        self._cold_until = clock.monotonic() + COLD_START
+        self._cold_start_until = clock.monotonic() + COLD_START
         self._routes = routes
         self._dispatcher = dispatcher
         self._caller = caller
@@ -174,8 +175,8 @@
         self._metrics = metrics
 
     async def serve(self, request: FrontRequest, responder: Responder) -> None:
-        """Serve one request to its final answer."""
-        began = self._clock.monotonic()
+        """Serve one request, write its answer and log how it ended."""
+        began_at = self._clock.monotonic()
         result = "caller left"
         try:
             with self._drain.track():
@@ -200,21 +201,21 @@
             raise
         except Exception as error:
             result = f"failed: {error!r}"
-            # A caller whose connection closes without an answer learns less.
-            await responder.refuse(_failed().failure)
+            # An answer with status 500 tells the caller more than a closed connection.
+            await responder.refuse(_internal_error().failure)
         finally:
-            took = self._clock.monotonic() - began
+            took = self._clock.monotonic() - began_at
             self._metrics.time(Metric.ANSWER, took)
             log_end(request.id, request.path, result, took)
 
     async def _serve(self, request: FrontRequest, responder: Responder) -> str:
         self._drain.check_open()
-        await self._wait_for_start()
+        await self._wait_until_ready()
         admitted = self._admit(request)
         self._guard.check(admitted.fingerprint, service=admitted.service)
         route = admitted.route
         is_stream = route.kind is CallKind.STREAM
-        needed = self._typical_time(admitted) if is_stream else _patience_of(route)
+        needed = self._typical_time(admitted) if is_stream else _call_patience(route)
         self._drain.check_time(needed, now=self._clock.monotonic())
         admission = AdmissionRequest(
             id=request.id,
@@ -223,7 +224,7 @@
             request_class=RequestClass.INTERACTIVE
             if is_stream
             else RequestClass.LOOKUP,
-            timeout=ADMISSION_PART * route.target,
+            timeout=ADMISSION_SHARE * route.target,
         )
         async with self._gate.enter(admitted.service, admission):
             if is_stream:
@@ -231,14 +232,14 @@
             return await self._call(admitted, responder)
 
     def _typical_time(self, admitted: _Admitted) -> timedelta:
-        """Return how long a stream is likely to take."""
+        """Return the forecast duration of a stream."""
         prompt = admitted.request.prompt
         tokens = prompt.tokens if prompt else 0
         return self._forecast.typical_time(admitted.service, tokens=tokens)
 
-    async def _wait_for_start(self) -> None:
-        """Let a request that came while the host starts wait for what it must know."""
-        left = self._cold_until - self._clock.monotonic()
+    async def _wait_until_ready(self) -> None:
+        """Wait for the routes and endpoints, until `COLD_START` after the start."""
+        left = self._cold_start_until - self._clock.monotonic()
         if self._learned.is_set() or left <= timedelta(0):
             return
         with contextlib.suppress(TimeoutError):
@@ -249,17 +250,18 @@
         """Find the route, the workspace and the service of a request.
 
         Raises:
-            RefusedError: There is none, or this host knows no routes yet.
+            RefusedError: The route or the key is not known, or this host has no routes
+                yet.
         """
         routes = self._routes.current
         if routes is None:
-            raise _not_yet("This host has no configuration yet.", step="route")
+            raise _no_config_error("This host has no configuration yet.", step="route")
         route = routes.find_route(request.host, request.path)
         if route is None:
             self._check_current("route")
             raise refuse(
                 Code.UNKNOWN_SERVICE,
-                "There is no such route.",
+                "No route matches the host name and path.",
                 status=404,
                 step="route",
             )
@@ -278,13 +280,17 @@
         )
 
     def _check_current(self, step: str) -> None:
-        """Refuse for now what newer routes or keys may allow.
+        """Refuse a request for now if newer routes or keys may allow it.
 
-        A caller that is told that something does not exist gives up; one that is told
-        that this host does not know it yet asks another host.
+        A caller gives up on a 404 or 401, but asks another host after a 503.
+
+        Raises:
+            RefusedError: Newer routes are known to exist.
         """
         if self._is_behind():
-            raise _not_yet("This host is still learning newer routes.", step=step)
+            raise _no_config_error(
+                "This host has not received the newest routes yet.", step=step
+            )
 
     def _find_workspace(
         self, routes: RouteSet, route: Route, request: FrontRequest
@@ -296,7 +302,7 @@
             self._check_current("authenticate")
             raise refuse(
                 Code.UNAUTHENTICATED,
-                "The key is not known.",
+                "The key is missing or unknown.",
                 status=401,
                 step="authenticate",
             )
@@ -327,12 +333,12 @@
             return f"broken off at {generation.delivered}: {error.failure.message}"
         except TimeoutError:
             if not sink.has_begun:
-                raise _too_late(admitted, generation) from None
+                raise _timeout_error(admitted, generation) from None
             responder.abort()
-            return f"broken off at {generation.delivered}: out of time"
+            return f"broken off at {generation.delivered}: deadline exceeded"
         if not sink.may_end:
             responder.abort()
-            return f"broken off at {generation.delivered}: its end is not certain"
+            return f"broken off at {generation.delivered}: it may be incomplete"
         await responder.end()
         return (
             f"streamed: {generation.delivered} events in {len(generation.attempts)}"
@@ -341,12 +347,15 @@
 
 
 class _StreamSink:
-    """Writes one stream to its caller; the first attempt's head is kept."""
+    """The sink that writes one stream to its caller.
+
+    The caller receives the head of the first attempt only.
+    """
 
     def __init__(self, *, responder: Responder, clock: Clock) -> None:
         self.has_begun = False
         self._clock = clock
-        self._last_at = clock.monotonic()
+        self._last_output_at = clock.monotonic()
         self._first_pause = timedelta(0)
         self._longest_pause = timedelta(0)
         self._responder = responder
@@ -354,12 +363,12 @@
         self._first_head: ResponseHead | None = None
 
     def switch(self, generation: Generation, attempt: Attempt) -> None:
-        """Learn of a new attempt before its first output."""
+        """Record a new attempt before its first output."""
         self._attempt = attempt
 
     @property
     def timing(self) -> str:
-        """Tell the longest pauses, for the log."""
+        """The wait for the first output and the longest pause after it, for the log."""
         first = round(self._first_pause.total_seconds() * 1000)
         longest = round(self._longest_pause.total_seconds() * 1000)
         return f"first after {first} ms, longest pause {longest} ms"
@@ -368,13 +377,14 @@
     def may_end(self) -> bool:
         """Whether the answer may be marked as complete.
 
-        An attempt that did not tell its end may have been cut short; an answer
-        that began with one doesn't promise to tell its end either.
+        An attempt without a length or chunked encoding may have been cut short. Where
+        the head sent to the caller has neither, the answer ends with its connection,
+        and the caller can't take its end for a proof that it is complete.
         """
         return self._attempt.head.is_framed or not self._first_head.is_framed
 
     async def write(self, deliveries: Sequence[Delivery]) -> None:
-        """Take new output; returns when more may come."""
+        """Write new output; return when the caller can accept more."""
         self._record_pause()
         if not self.has_begun:
             self.has_begun = True
@@ -384,7 +394,7 @@
 
     def _record_pause(self) -> None:
         now = self._clock.monotonic()
-        pause, self._last_at = now - self._last_at, now
+        pause, self._last_output_at = now - self._last_output_at, now
         if self.has_begun:
             self._longest_pause = max(self._longest_pause, pause)
         else:
@@ -392,7 +402,7 @@
 
 
 def log_end(request_id: str, path: str, result: str, took: timedelta) -> None:
-    """Log how a request ended: once for each that was read."""
+    """Log the result of a request, once for each request that was read."""
     log_event(
         "front",
         "Ended.",
@@ -403,7 +413,7 @@
     )
 
 
-def _failed() -> RefusedError:
+def _internal_error() -> RefusedError:
     return refuse(
         Code.INTERNAL,
         "This host failed on the request.",
@@ -413,7 +423,7 @@
     )
 
 
-def _not_yet(message: str, *, step: str) -> RefusedError:
+def _no_config_error(message: str, *, step: str) -> RefusedError:
     return refuse(
         Code.NO_CONFIG, message, status=503, step=step, retry_after=RETRY_AFTER
     )
@@ -437,14 +447,14 @@
         key="",
         max_attempts=route.max_attempts,
         deadline=admitted.deadline,
-        patience=_patience_of(route),
+        patience=_call_patience(route),
         route=route.name,
         fingerprint=admitted.fingerprint,
     )
 
 
-def _patience_of(route: Route) -> timedelta:
-    """Return how long a call's answer is waited for before another one is sought."""
+def _call_patience(route: Route) -> timedelta:
+    """Return the time without an answer after which a call fails over."""
     return PATIENCE_TARGETS * route.target
 
 
@@ -462,7 +472,7 @@
         prompt_tokens=prompt.tokens,
         max_attempts=admitted.route.max_attempts if admitted.route.is_resumable else 1,
         deadline=admitted.deadline,
-        patience=ADMISSION_PART * admitted.route.target,
+        patience=ADMISSION_SHARE * admitted.route.target,
         target=admitted.route.target,
         max_gap=admitted.route.max_gap,
         raw=request.raw,
@@ -471,14 +481,14 @@
     )
 
 
-def _too_late(admitted: _Admitted, generation: Generation) -> RefusedError:
-    ran = generation.attempt_count > 0
+def _timeout_error(admitted: _Admitted, generation: Generation) -> RefusedError:
+    may_have_run = generation.attempt_count > 0
     return refuse(
         Code.NO_ENDPOINT,
         "No endpoint answered in time.",
-        status=504 if ran else 503,
+        status=504 if may_have_run else 503,
         step="stream",
         peer=admitted.service,
-        outcome=Outcome.UNKNOWN if ran else Outcome.NOT_RUN,
+        outcome=Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN,
         retry_after=RETRY_AFTER,
     )
--- a/passtally/http.py
+++ b/passtally/http.py
@@ -1,4 +1,4 @@
-"""Calls with the client library's session."""
+"""HTTP calls with aiohttp."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -9,7 +9,7 @@
 
 
 class SessionFetcher:
-    """See :class:`passtally.fetch.Fetcher`.
+    """A :class:`passtally.fetch.Fetcher` that uses aiohttp.
 
     Args:
         session: The client session.
@@ -28,7 +28,7 @@
         headers: Mapping[str, str] | None = None,
         data: bytes = b"",
     ) -> Fetched:
-        """Make one call."""
+        """Send one call and return the complete answer."""
         return await fetch(
             self._session,
             method,
@@ -48,17 +48,17 @@
     timeout: timedelta,
     **options: object,
 ) -> Fetched:
-    """Make one call. Redirects are not followed.
+    """Send one call and return the complete answer. Redirects are not followed.
 
     Args:
         session: The client session.
         method: The HTTP method.
-        url: Whom to call.
-        timeout: The time limit for all of it.
-        options: More options of the client library's request.
+        url: The URL.
+        timeout: The limit on the total time.
+        options: Further options of :meth:`aiohttp.ClientSession.request`.
 
     Raises:
-        FetchError: No whole answer came in time.
+        FetchError: No complete answer was received in time.
     """
     total = aiohttp.ClientTimeout(total=timeout.total_seconds())
     try:
--- a/passtally/metrics.py
+++ b/passtally/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics' names, from which docs/METRICS.md is made, and where they go."""
+"""The metrics with their descriptions, and the interface of metrics sinks."""
 
 from datetime import timedelta
 from enum import StrEnum
@@ -8,12 +8,12 @@
 
 
 class Metric(StrEnum):
-    """Every metric's name.
+    """Every metric, by its name without prefix.
 
     Attributes:
-        kind: The statsd type.
-        unit: The unit.
-        meaning: What it tells, for docs/METRICS.md.
+        kind: ``gauge``, ``counter`` or ``timer``.
+        unit: The unit of the values.
+        meaning: The description in docs/METRICS.md and in metrics text.
     """
 
     kind: str
@@ -21,7 +21,7 @@
     meaning: str
 
     def __new__(cls, value: str, kind: str, unit: str, meaning: str) -> "Metric":
-        """Make one metric."""
+        """Create a metric with its type, unit and description."""
         metric = str.__new__(cls, value)
         metric._value_ = value
         metric.kind = kind
@@ -29,70 +29,100 @@
         metric.meaning = meaning
         return metric
 
-    # Gauges come first: whoever collects metrics may keep only the first few thousand
-    # bytes of a text, and these tell how the host stands now.
+    # Gauges come first, as they show the current state of the host and collectors may
+    # keep only the first few thousand bytes of the metrics text.
     OPEN = "open", "gauge", "1", "Open requests."
-    CONFIG_VERSION = "config_version", "gauge", "1", "Configuration version in force."
+    CONFIG_VERSION = "config_version", "gauge", "1", "Active configuration version."
     CONFIG_BEHIND = (
         "config_behind",
         "gauge",
         "ms",
-        "For how long a newer configuration has been known elsewhere.",
+        "Time since another host was first known to have a newer configuration.",
     )
-    PEERS_AWAY = "peers_away", "gauge", "1", "Hosts out of reach."
+    PEERS_AWAY = "peers_away", "gauge", "1", "Unreachable peer hosts."
     PLATFORM_AWAY = (
         "platform_away",
         "gauge",
         "0 or 1",
-        "Whether no changes of the platform arrive.",
+        "1 while the host receives no changes from the platform.",
     )
-    PEER_BYTES = "peer_bytes", "gauge", "bytes", "Sent to peers since the start."
-    CLAIM_WRITES = "claim_writes", "gauge", "1", "Claim writes since the start."
-    ROLLOUTS = "rollouts", "gauge", "1", "Roll-outs of new versions under way."
+    PEER_BYTES = "peer_bytes", "gauge", "bytes", "Bytes sent to peers since the start."
+    CLAIM_WRITES = (
+        "claim_writes",
+        "gauge",
+        "1",
+        "Writes of claims to the platform since the start.",
+    )
+    ROLLOUTS = "rollouts", "gauge", "1", "Roll-outs in progress."
     TRIALS = (
         "trials",
         "counter",
         "1",
-        "Requests that tried a new version; the service follows the name.",
+        "Trial requests to new versions; the service follows the name.",
     )
     TRIAL_FAILURES = (
         "trial_failures",
         "counter",
         "1",
-        "Answers of a new version that failed; the service follows the name.",
+        "Failed answers of new versions; the service follows the name.",
+    )
+    QUARANTINED = (
+        "quarantined",
+        "gauge",
+        "1",
+        "Requests in quarantine for crashing endpoints.",
     )
-    QUARANTINED = "quarantined", "gauge", "1", "Requests that are refused as crashing."
-    QUARANTINES = "quarantines", "counter", "1", "Requests found to be crashing."
-    REQUESTS = "requests", "counter", "1", "Generations taken or taken up."
-    REFUSED = "refused", "counter", "1", "Refusals; the error code follows the name."
-    ATTEMPTS = "attempts", "counter", "1", "Attempts started."
-    LOST = "lost", "counter", "1", "Attempts lost; the kind follows the name."
-    FIRST_TOKEN = "first_token", "timer", "ms", "From dispatch to the first token."
-    RESUME = "resume", "timer", "ms", "From an attempt's loss to the next token."
-    ANSWER = "answer", "timer", "ms", "From a request's arrival to its end."
+    QUARANTINES = "quarantines", "counter", "1", "Requests put into quarantine."
+    REQUESTS = (
+        "requests",
+        "counter",
+        "1",
+        "Generations started, or resumed for another host.",
+    )
+    REFUSED = (
+        "refused",
+        "counter",
+        "1",
+        "Refused requests; the error code follows the name.",
+    )
+    ATTEMPTS = "attempts", "counter", "1", "Attempts started at endpoints."
+    LOST = "lost", "counter", "1", "Attempts lost; the kind of loss follows the name."
+    FIRST_TOKEN = "first_token", "timer", "ms", "Time from dispatch to the first token."
+    RESUME = (
+        "resume",
+        "timer",
+        "ms",
+        "Time from the loss of an attempt to the next token.",
+    )
+    ANSWER = "answer", "timer", "ms", "Time from the arrival of a request to its end."
 
 
 class Metrics(Protocol):
-    """Where metrics go."""
+    """A sink of metrics."""
 
     def count(self, metric: Metric, part: str = "") -> None:
-        """Count one."""
+        """Add one to a counter.
+
+        Args:
+            metric: The counter.
+            part: The label that follows the name, such as an error code.
+        """
 
     def time(self, metric: Metric, duration: timedelta) -> None:
-        """Record how long something took."""
+        """Record a duration in a timer."""
 
     def gauge(self, metric: Metric, value: float) -> None:
-        """Record how much there is of something."""
+        """Set a gauge."""
 
 
 class NoMetrics:
-    """Drops all metrics."""
+    """A sink that drops all metrics."""
 
     def count(self, metric: Metric, part: str = "") -> None:
-        """Count one."""
+        """Drop a count."""
 
     def time(self, metric: Metric, duration: timedelta) -> None:
-        """Record how long something took."""
+        """Drop a duration."""
 
     def gauge(self, metric: Metric, value: float) -> None:
-        """Record how much there is of something."""
+        """Drop a value."""
--- a/passtally/outcome.py
+++ b/passtally/outcome.py
@@ -1,4 +1,4 @@
-"""What a caller is told when its request is refused or ends early."""
+"""Error codes and error bodies for requests that are refused or cut short."""
 
 from datetime import timedelta
 from enum import StrEnum
@@ -9,94 +9,115 @@
 
 
 class Outcome(StrEnum):
-    """Whether a request ran."""
+    """Whether a failed request may have run, so that a retry could run it again."""
 
-    #: No byte of it reached an endpoint, or the endpoint refused it unrun.
+    #: No byte of the request reached an endpoint, or the endpoint refused to run it.
     NOT_RUN = "not_run"
-    #: It may have run, in part or whole.
+    #: The request may have run, in part or completely.
     UNKNOWN = "unknown"
 
 
 class Code(StrEnum):
-    """Every error code that a caller or operator can meet.
+    """Every error code that a caller or operator can receive.
 
     Attributes:
-        meaning: What it means, for docs/API.md.
+        meaning: The description in docs/ERRORS.md.
     """
 
     meaning: str
 
     def __new__(cls, value: str, meaning: str) -> "Code":
-        """Make one code with its meaning."""
+        """Create a code with its description."""
         code = str.__new__(cls, value)
         code._value_ = value
         code.meaning = meaning
         return code
 
     BAD_JSON = "bad_json", "The body is not JSON."
-    BAD_REQUEST = "bad_request", "A field or header can't be used; the text names it."
-    BODY_TOO_LARGE = "body_too_large", "The body is over the host's `--max-body`."
-    UNAUTHENTICATED = "unauthenticated", "No token, or one that nobody has."
+    BAD_REQUEST = "bad_request", "A field or header is invalid; the message names it."
+    BODY_TOO_LARGE = "body_too_large", "The body exceeds the host's `--max-body`."
+    UNAUTHENTICATED = "unauthenticated", "The token or key is missing or unknown."
     UNKNOWN_PATH = "unknown_path", "There is no such path or method."
     UNKNOWN_MODEL = "unknown_model", "The workspace has no model of this name."
     UNKNOWN_SERVICE = "unknown_service", "The workspace has no service of this name."
-    UNKNOWN_GENERATION = "unknown_generation", "The workspace has no such job."
-    ANSWER_TOO_LONG = "answer_too_long", "A job's answer is too long to be kept."
+    UNKNOWN_GENERATION = "unknown_generation", "The workspace has no job with this id."
+    ANSWER_TOO_LONG = "answer_too_long", "A job's answer is too long to be stored."
     BAD_RESUME_HANDLE = (
         "bad_resume_handle",
         "`Last-Event-ID` was not issued for this workspace and body.",
     )
-    OVERLOADED = "overloaded", "There is no room, and would not be in time."
-    NO_ENDPOINT = "no_endpoint", "No endpoint could be given the request."
+    OVERLOADED = "overloaded", "There is no capacity now, and none is expected in time."
+    NO_ENDPOINT = (
+        "no_endpoint",
+        "No endpoint accepted the request or answered it in time.",
+    )
     ENDPOINT_LOST = (
         "endpoint_lost",
-        "The endpoint was lost after the call was sent; it may have run.",
+        "The endpoint was lost after the call was sent; the call may have run.",
     )
     REQUEST_QUARANTINED = (
         "request_quarantined",
-        "This prompt took several endpoints down and is refused for a while.",
+        "This request crashed several endpoints and is refused for a while.",
     )
     RESUME_IMPOSSIBLE = (
         "resume_impossible",
-        "The answer can't go on; `position` names the last token delivered.",
+        "The answer can't be resumed; `position` is that of the last delivered token.",
     )
     KEY_IN_USE = (
         "key_in_use",
-        "A request with this key was sent before; how it ended is not known here.",
+        "A request with this key was sent before, and its result is not available.",
     )
     KEY_REUSED = "key_reused", "This key was used for another request."
-    STOPPING = "stopping", "The host is about to stop; ask another."
-    NO_CONFIG = "no_config", "The host knows no configuration yet; ask again."
+    STOPPING = "stopping", "The host is about to stop; retry at another host."
+    NO_CONFIG = (
+        "no_config",
+        "The host has no configuration yet, or not the newest; retry.",
+    )
     CLAIMS_UNAVAILABLE = (
         "claims_unavailable",
-        "The key can't be claimed while the platform is away.",
+        "The key can't be claimed while the platform is unreachable.",
+    )
+    CLAIM_LAPSED = "claim_lapsed", "The host was paused between claim and send."
+    BAD_OBJECT = (
+        "bad_object",
+        "A configuration object is invalid; the message names all problems.",
+    )
+    VERSION_CONFLICT = (
+        "version_conflict",
+        "The object has been changed since it was read.",
     )
-    CLAIM_LAPSED = "claim_lapsed", "The host slept between claim and send."
-    BAD_OBJECT = "bad_object", "A configuration object has problems; all are named."
-    VERSION_CONFLICT = "version_conflict", "The object has another version by now."
     UNKNOWN_OBJECT = "unknown_object", "There is no such object or kind."
-    PLATFORM_AWAY = "platform_away", "The platform did not answer; ask again."
-    PLAN_REFUSED = "plan_refused", "The plan could not keep the promises."
-    PLAN_STALE = "plan_stale", "What the plan rests on has changed."
+    PLATFORM_AWAY = "platform_away", "The platform did not answer; retry."
+    PLAN_REFUSED = (
+        "plan_refused",
+        "The intent is invalid, or its plan would break a guarantee.",
+    )
+    PLAN_STALE = (
+        "plan_stale",
+        "Objects that the plan depends on have changed; declare it again.",
+    )
     UNKNOWN_INTENT = "unknown_intent", "There is no such intent."
-    INTENT_CONFLICT = "intent_conflict", "Another intent under way is in conflict."
+    INTENT_CONFLICT = (
+        "intent_conflict",
+        "The intent conflicts with another one under way.",
+    )
     INTENT_ENDED = "intent_ended", "The intent has ended already."
     INTERNAL = "internal", "The host failed on the request."
 
 
 @attrs.frozen(kw_only=True)
 class Failure:
-    """One refusal or early end, as the caller reads it.
+    """A refusal, or the error that cuts an answer short, as sent to the caller.
 
     Attributes:
-        code: What went wrong.
-        message: One sentence for a person.
-        outcome: Whether the request ran.
-        status: The HTTP status, where one can still be sent.
-        retry_after: When to come back, if that can help.
-        step: The step at which it arose (``admit``, ``route``, ``stream`` ...).
-        peer: The endpoint, host or store at the other side, if any.
-        position: The last token position delivered, for an answer cut short.
+        code: The error code.
+        message: A sentence for human readers.
+        outcome: Whether the request may have run.
+        status: The HTTP status, used unless the answer has begun.
+        retry_after: The time after which to retry, if a retry can help.
+        step: The step that failed (``admit``, ``route``, ``stream`` ...).
+        peer: The endpoint, host or store involved, if any.
+        position: The position of the last delivered token, for an answer cut short.
     """
 
     code: Code
@@ -109,7 +130,7 @@
     position: int | None = None
 
     def to_json(self) -> bytes:
-        """Return the body that the caller receives."""
+        """Return the JSON body of the error answer."""
         error: dict[str, Any] = {
             "code": self.code.value,
             "message": self.message,
@@ -125,10 +146,10 @@
 
 
 class RefusedError(Exception):
-    """A request that gets no answer, or no whole one.
+    """The error of a request that gets no answer, or no complete one.
 
     Args:
-        failure: What the caller is told.
+        failure: The error that the caller receives.
     """
 
     def __init__(self, failure: Failure) -> None:
@@ -150,7 +171,7 @@
     retry_after: timedelta | None = None,
     position: int | None = None,
 ) -> RefusedError:
-    """Build the error for one refusal; see :class:`Failure` for the arguments."""
+    """Return a :class:`RefusedError`; see :class:`Failure` for the arguments."""
     return RefusedError(
         Failure(
             code=code,
--- a/passtally/plain.py
+++ b/passtally/plain.py
@@ -1,4 +1,4 @@
-"""Serves plain services: calls that are passed on, some of them only once."""
+"""Forwarding of calls to plain services, at most once where a call demands it."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,49 +24,53 @@
 
 CALL_TIMEOUT = timedelta(seconds=30)
 MAX_ATTEMPTS = 3
-#: Calls in a row that an endpoint may leave unanswered before it is passed over. One
-#: alone may be a long one.
+#: Consecutive unanswered calls after which an endpoint is ejected. A single unanswered
+#: call may just be a long one.
 MAX_UNANSWERED = 3
-#: The step of a failure before any byte was sent; going on costs no repeat.
-UNSENT_STEP = "connect"
-#: How many endpoints may take no connection before a call is refused: 150 ms each, and
-#: nothing was sent. Of five endpoints that a host whose link is full does not reach at
-#: once, one is likely reached by then; a host that is cut off reaches none.
-MAX_CONNECTS = 4
+#: Step reported for a failure before any byte was sent. Trying another endpoint then
+#: takes nothing from the retry budget.
+CONNECT_STEP = "connect"
+#: Failed connects after which a call is refused. Each costs 150 ms, and nothing has
+#: been sent. A host with a saturated link, which fails to connect to some of five
+#: endpoints, has most likely reached another by then. A host that is cut off reaches
+#: none.
+MAX_CONNECT_FAILURES = 4
 RETRY_AFTER = timedelta(seconds=1)
-#: From this status on an answer tells that its endpoint failed.
+#: Lowest status that counts as a failed answer in the comparison of versions.
 FAILURE_STATUS = 500
-#: Answers by which an endpoint is held against its neighbours: it, or what it needs,
-#: failed. Not 503 or 504: it may be full, or the call's own time too short.
+#: Statuses that count against an endpoint when it is compared with the other endpoints
+#: of its service: the endpoint or one of its dependencies failed. 503 and 504 are left
+#: out, as the endpoint may be full or the time limit of the call too short.
 FAULT_STATUSES = frozenset((500, 502))
-#: Losses that count like such answers. Calls without an answer are counted apart.
+#: Losses that count against an endpoint like `FAULT_STATUSES`. Unanswered calls are
+#: counted separately, see `MAX_UNANSWERED`.
 FAULT_KINDS = frozenset((LossKind.RESET, LossKind.RESUME_MISMATCH))
 
 
 @attrs.frozen(kw_only=True)
 class PlainCall:
-    """One call to pass on.
+    """A call to forward to an endpoint.
 
     Attributes:
-        id: Its id in the logs.
-        workspace: Whose it is.
-        service: The service.
+        id: The call's id in the logs.
+        workspace: The id of the calling workspace.
+        service: The service to call.
         method: The HTTP method.
-        path: What follows the service's name, with the query.
-        headers: The headers to pass on.
-        body: The body.
-        repeatable: Whether it may run more than once.
+        path: The path after the service's name, with the query.
+        headers: The headers to forward.
+        body: The body to forward.
+        repeatable: Whether the call may run more than once.
         key: The caller's idempotency key, or empty.
-        failure_domain: Where it is to run if it can; empty for the host's own.
-        max_attempts: How many endpoints it may be sent to.
-        deadline: When it is given up, on the monotonic clock.
-        patience: After what time without an answer a repeatable call goes on to
-            another endpoint, if there is one and it may be sent once more.
-        must_connect: Whether it is to be sent on a new connection, since one was
-            silent.
-        route: The route that led to the service, or empty.
-        fingerprint: What its later tries have in common with it, see
-            :func:`passtally.fingerprint.fingerprint_of`; empty where it has none.
+        failure_domain: The preferred failure domain; empty for the local one.
+        max_attempts: The maximum number of endpoints the call is sent to.
+        deadline: The time at which the call is aborted, on the monotonic clock.
+        patience: The time without an answer after which a repeatable call fails over
+            to another endpoint, if there is one and a retry is allowed.
+        must_connect: Whether to send the call on a new connection, because an earlier
+            connection stayed silent.
+        route: The name of the route that selected the service, or empty.
+        fingerprint: The fingerprint shared by the caller's retries of this call, see
+            :func:`passtally.fingerprint.fingerprint_of`; empty if there is none.
     """
 
     id: str
@@ -89,13 +93,13 @@
 
 @attrs.frozen(kw_only=True)
 class PlainAnswer:
-    """What an endpoint answered.
+    """The complete answer of an endpoint.
 
     Attributes:
         status: The HTTP status.
-        headers: The headers to pass on.
+        headers: The headers to forward.
         body: The body.
-        is_framed: Whether the answer told its end; see
+        is_framed: Whether the answer had a length or chunked encoding; see
             :class:`passtally.http_client.ResponseHead`.
     """
 
@@ -106,26 +110,26 @@
 
 
 @attrs.define(kw_only=True)
-class _Tries:
-    """What one call may still do.
+class _RetryState:
+    """The remaining limits of one call, and the endpoints that it has tried.
 
     Attributes:
-        sends_left: How many endpoints it may still be sent to.
-        connects_left: How many endpoints may still take no connection.
-        excluded: The endpoints that lost it.
-        has_retry: Whether the repeat for its next send is taken already.
-        must_connect: Whether its next sends are to go on new connections.
+        sends_left: The number of endpoints the call may still be sent to.
+        connect_failures_left: The number of failed connects after which it is refused.
+        excluded: The ids of the endpoints that failed the call.
+        has_retry: Whether the retry for the next send has been acquired already.
+        must_connect: Whether further sends use new connections.
     """
 
     sends_left: int
-    connects_left: int = MAX_CONNECTS
+    connect_failures_left: int = MAX_CONNECT_FAILURES
     excluded: set[str] = attrs.field(factory=set)
     has_retry: bool = False
     must_connect: bool = False
 
 
 class Sender(Protocol):
-    """Sends a call to one endpoint."""
+    """The transport of calls to endpoints."""
 
     async def send(
         self,
@@ -134,24 +138,24 @@
         *,
         before_send: Callable[[], None] | None = None,
     ) -> PlainAnswer:
-        """Send a call once and return its answer.
+        """Send a call exactly once and return the answer.
 
         Raises:
-            AttemptLostError: No answer came. Its kind tells whether the call may
-                have run.
+            AttemptLostError: No complete answer was received. The kind of the error
+                states whether the call may have run.
         """
 
 
 class PlainCaller:
-    """Passes calls on to plain endpoints.
+    """Forwards calls to plain endpoints and retries them within their limits.
 
     Args:
-        fleet: The endpoints.
+        fleet: The endpoints and their state.
         clock: The clock.
-        failure_domain: This host's own.
-        budgets: How many repeats are left.
-        sender: Sends a call to one endpoint.
-        guard: Refuses calls that end their endpoints; None for one of its own.
+        failure_domain: The failure domain of this host.
+        budgets: The retry budgets.
+        sender: The transport of calls to endpoints.
+        guard: The quarantine of calls that crash endpoints; None for a private one.
     """
 
     def __init__(
@@ -174,18 +178,18 @@
     async def call(
         self, call: PlainCall, *, before_send: Callable[[], None] | None = None
     ) -> PlainAnswer:
-        """Pass one call on, more than once only where that is allowed.
+        """Forward a call, and retry it only where that is allowed.
 
         Args:
-            call: What to pass on.
-            before_send: Called once the connection stands, before the first byte;
-                it raises RefusedError to hold the call back.
+            call: The call to forward.
+            before_send: A callback that runs once the connection is established,
+                before the first byte. It raises RefusedError to prevent the send.
 
         Raises:
-            RefusedError: No endpoint answered; its outcome tells whether one
-                may have run it.
+            RefusedError: No endpoint answered. The outcome states whether an endpoint
+                may have run the call.
         """
-        tries = _Tries(sends_left=call.max_attempts)
+        retry_state = _RetryState(sends_left=call.max_attempts)
         failure: RefusedError | None = None
         service = call.service.id
         self._guard.check(call.fingerprint, service=service)
@@ -193,27 +197,31 @@
         endpoint_id = self._route_first(call)
         while endpoint_id is not None:
             try:
-                return await self._send(call, endpoint_id, before_send, tries)
+                return await self._send(call, endpoint_id, before_send, retry_state)
             except RefusedError as error:
-                tries.excluded.add(endpoint_id)
-                failure = _worse(failure, error)
-                is_unsent = error.failure.step == UNSENT_STEP
-                tries.connects_left -= is_unsent
-                tries.sends_left -= not is_unsent
-            is_over = not tries.sends_left or not tries.connects_left
-            if is_over or not await self._may_retry(call, failure, tries):
+                retry_state.excluded.add(endpoint_id)
+                failure = _select_failure(failure, error)
+                is_connect_failure = error.failure.step == CONNECT_STEP
+                retry_state.connect_failures_left -= is_connect_failure
+                retry_state.sends_left -= not is_connect_failure
+            is_exhausted = (
+                not retry_state.sends_left or not retry_state.connect_failures_left
+            )
+            if is_exhausted or not await self._may_retry(call, failure, retry_state):
                 break
-            call = attrs.evolve(call, must_connect=tries.must_connect)
-            endpoint_id = self._route(call, tries.excluded)
-        raise self._tell_when(failure, service)
+            call = attrs.evolve(call, must_connect=retry_state.must_connect)
+            endpoint_id = self._route(call, retry_state.excluded)
+        raise self._with_retry_after(failure, service)
 
-    def _tell_when(self, failure: RefusedError | None, service: str) -> RefusedError:
-        """Return the failure to report; of one that did not run, when to come back."""
+    def _with_retry_after(
+        self, failure: RefusedError | None, service: str
+    ) -> RefusedError:
+        """Return the error for the caller, with Retry-After if the call did not run."""
         retry_after = self._fleet.time_until_capacity(service) or RETRY_AFTER
         if failure is None:
             return refuse(
                 Code.NO_ENDPOINT,
-                "No endpoint of the service can take the call.",
+                "No endpoint of the service can accept the call.",
                 status=503,
                 step="route",
                 peer=service,
@@ -224,19 +232,19 @@
         return failure
 
     async def _may_retry(
-        self, call: PlainCall, failure: RefusedError, tries: _Tries
+        self, call: PlainCall, failure: RefusedError, retry_state: _RetryState
     ) -> bool:
         if self._guard.remaining(call.fingerprint) is not None:
             return False
-        ran = failure.failure.outcome is Outcome.UNKNOWN
-        if ran and not call.repeatable:
+        may_have_run = failure.failure.outcome is Outcome.UNKNOWN
+        if may_have_run and not call.repeatable:
             return False
         if self._remaining(call) <= timedelta(0):
             return False
-        if failure.failure.step == UNSENT_STEP:
+        if failure.failure.step == CONNECT_STEP:
             return True
-        if tries.has_retry:
-            tries.has_retry = False
+        if retry_state.has_retry:
+            retry_state.has_retry = False
             return True
         return await self._acquire_retry(call)
 
@@ -261,7 +269,7 @@
         )
 
     def _route_first(self, call: PlainCall) -> str | None:
-        """Choose the first endpoint; some requests try a new version."""
+        """Choose the first endpoint; trials go to a new version where possible."""
         versions = self._fleet.versions
         if versions.acquire_trial(call.service.id):
             endpoint_id = self._route(call, set(), is_trial=True)
@@ -293,32 +301,36 @@
         call: PlainCall,
         endpoint_id: str,
         before_send: Callable[[], None] | None,
-        tries: _Tries,
+        retry_state: _RetryState,
     ) -> PlainAnswer:
-        """Send the call once, and learn of the endpoint from how that ends."""
+        """Send the call once and record the result for the endpoint."""
         live = self._fleet.find(endpoint_id)
         self._fleet.try_send(live)
         limit = self._remaining(call)
-        losing: asyncio.Task[None] | None = None
-        began = self._clock.monotonic()
+        failover_task: asyncio.Task[None] | None = None
+        began_at = self._clock.monotonic()
         live.enter()
         try:
-            # Fair: what an endpoint has answered while this host did not run lies here
-            # unread, and may not be asked for again.
+            # Pause-aware, because an answer that arrived while this host was paused is
+            # still unread when the timer fires, and the call may not be sent again.
             async with PauseAwareTimeout(limit, clock=self._clock) as scope:
-                if tries.sends_left > 1 and call.repeatable and call.patience:
-                    work = self._lose_patience(call, endpoint_id, tries, scope)
-                    losing = asyncio.create_task(work)
+                if retry_state.sends_left > 1 and call.repeatable and call.patience:
+                    work = self._fail_over_when_slow(
+                        call, endpoint_id, retry_state, scope
+                    )
+                    failover_task = asyncio.create_task(work)
                 answer = await self._sender.send(call, live, before_send=before_send)
         except AttemptLostError as loss:
-            raise await self._handle_loss(call, live, loss, began=began) from loss
+            raise await self._handle_loss(call, live, loss, began_at=began_at) from loss
         except TimeoutError as error:
             loss = lost_call(LossKind.FROZEN, live, error)
-            raise await self._handle_loss(call, live, loss, began=began) from error
+            raise await self._handle_loss(
+                call, live, loss, began_at=began_at
+            ) from error
         finally:
             live.leave()
-            if losing is not None:
-                losing.cancel()
+            if failover_task is not None:
+                failover_task.cancel()
         self._guard.record_success(call.fingerprint)
         self._fleet.record_call(live, is_fault=answer.status in FAULT_STATUSES)
         self._fleet.versions.record_answer(
@@ -326,27 +338,31 @@
             route=call.route,
             answers=1,
             failures=int(answer.status >= FAILURE_STATUS),
-            took=self._clock.monotonic() - began,
+            took=self._clock.monotonic() - began_at,
         )
         return answer
 
-    async def _lose_patience(
-        self, call: PlainCall, endpoint_id: str, tries: _Tries, scope: PauseAwareTimeout
+    async def _fail_over_when_slow(
+        self,
+        call: PlainCall,
+        endpoint_id: str,
+        retry_state: _RetryState,
+        scope: PauseAwareTimeout,
     ) -> None:
-        """Take a call from a slow endpoint once it can go on elsewhere.
+        """Abort a call to a slow endpoint once it can fail over to another one.
 
-        Its repeat is taken first: without one, or without another endpoint, what was
-        done for it would be lost, and its caller told that nothing answered.
+        The retry is acquired before the abort. Without a retry or another endpoint,
+        the abort would discard the work done so far and the caller would get an error.
         """
-        excluded = tries.excluded | {endpoint_id}
+        excluded = retry_state.excluded | {endpoint_id}
 
-        async def take() -> bool:
-            has_other = self._choose(call, excluded).endpoint_id is not None
-            return has_other and await self._acquire_retry(call)
+        async def acquire_failover() -> bool:
+            has_alternative = self._choose(call, excluded).endpoint_id is not None
+            return has_alternative and await self._acquire_retry(call)
 
         await sleep_pause_aware(call.patience, clock=self._clock)
-        await wait_for_retry(take, clock=self._clock)
-        tries.has_retry = tries.must_connect = True
+        await wait_for_retry(acquire_failover, clock=self._clock)
+        retry_state.has_retry = retry_state.must_connect = True
         scope.expire()
 
     async def _handle_loss(
@@ -355,7 +371,7 @@
         live: LiveEndpoint,
         loss: AttemptLostError,
         *,
-        began: timedelta,
+        began_at: timedelta,
     ) -> RefusedError:
         is_frozen = loss.kind is LossKind.FROZEN
         live.unanswered_calls += is_frozen
@@ -365,7 +381,7 @@
         if loss.kind is LossKind.REPLACED:
             live.record_ended()
         if loss.kind is LossKind.RESET and self._fleet.is_serving(live):
-            await self._record_end(call, live, began)
+            await self._record_end(call, live, began_at)
         if is_endpoint_unreachable or live.unanswered_calls >= MAX_UNANSWERED:
             live.eject(self._clock.monotonic())
         log_decision(
@@ -378,46 +394,46 @@
             fingerprint=call.fingerprint.hex(),
         )
         if loss.kind in UNRUN_KINDS:
-            return _not_sent(loss)
+            return _not_run_error(loss)
         self._fleet.versions.record_answer(
             live.endpoint, route=call.route, answers=1, failures=1
         )
-        return _maybe_run(loss)
+        return _unknown_outcome_error(loss)
 
     async def _record_end(
-        self, call: PlainCall, live: LiveEndpoint, began: timedelta
+        self, call: PlainCall, live: LiveEndpoint, began_at: timedelta
     ) -> None:
-        """Look whether an endpoint that reset a call has ended under it."""
+        """Record a crash if the endpoint that reset the call has exited."""
         if await self._guard.has_ended(live):
             self._fleet.record_end(live)
-            self._guard.record_end(call.fingerprint, live, began_at=began)
+            self._guard.record_end(call.fingerprint, live, began_at=began_at)
 
 
-def _worse(known: RefusedError | None, new: RefusedError) -> RefusedError:
-    """Return the failure to report: once something may have run, that stays."""
+def _select_failure(known: RefusedError | None, new: RefusedError) -> RefusedError:
+    """Return the new error, unless the call may have run according to the known one."""
     if known is not None and known.failure.outcome is Outcome.UNKNOWN:
         return known
     return new
 
 
 def lost_call(kind: LossKind, live: LiveEndpoint, error: Exception) -> AttemptLostError:
-    """Return the error for a call that an endpoint did not answer."""
+    """Return the error for a call without a complete answer from its endpoint."""
     detail = str(error) or type(error).__name__
     return AttemptLostError(kind, step="call", peer=live.endpoint.id, detail=detail)
 
 
-def _not_sent(loss: AttemptLostError) -> RefusedError:
+def _not_run_error(loss: AttemptLostError) -> RefusedError:
     return refuse(
         Code.NO_ENDPOINT,
-        f"No connection could be made, or the call was not taken: {loss.detail}.",
+        f"The connection failed, or the endpoint rejected the call: {loss.detail}.",
         status=503,
-        step=UNSENT_STEP if loss.kind is LossKind.UNREACHABLE else "call",
+        step=CONNECT_STEP if loss.kind is LossKind.UNREACHABLE else "call",
         peer=loss.peer,
         retry_after=RETRY_AFTER,
     )
 
 
-def _maybe_run(loss: AttemptLostError) -> RefusedError:
+def _unknown_outcome_error(loss: AttemptLostError) -> RefusedError:
     return refuse(
         Code.ENDPOINT_LOST,
         f"The endpoint was lost before it answered: {loss.detail}.",
--- a/passtally/plain_handler.py
+++ b/passtally/plain_handler.py
@@ -1,4 +1,4 @@
-"""Serves plain services over the product's own interface, ``/services/...``."""
+"""The handler of calls to plain services, ``/services/{service}/...``."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -23,7 +23,7 @@
 KEY_HEADER = "Idempotency-Key"
 REPEATABLE_HEADER = "X-Repeatable"
 MAX_KEY_CHARACTERS = 255
-#: Headers of one hop, and those that belong to this system.
+#: Hop-by-hop headers, and headers addressed to this proxy. Neither kind is forwarded.
 _HOP_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -43,11 +43,11 @@
 
 
 class SessionSender:
-    """Sends calls with the client library's session.
+    """A :class:`passtally.plain.Sender` that uses aiohttp.
 
     Args:
-        session: The client session. It must neither repeat a call by itself
-            nor follow a redirect; see :func:`open_session`.
+        session: The client session. It must not retry a call by itself; see
+            :func:`open_session`. Redirects are not followed.
     """
 
     def __init__(self, *, session: aiohttp.ClientSession) -> None:
@@ -60,7 +60,7 @@
         *,
         before_send: Callable[[], None] | None = None,
     ) -> PlainAnswer:
-        """Send a call once and return its answer."""
+        """Send a call exactly once and return the answer."""
         timeout = aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT.total_seconds()
         )
@@ -75,7 +75,7 @@
                 trace_request_ctx=before_send,
             ) as response:
                 body = await response.read()
-                headers = _passed_on(response.headers)
+                headers = _forwarded_headers(response.headers)
                 return PlainAnswer(status=response.status, headers=headers, body=body)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise lost_call(LossKind.UNREACHABLE, live, error) from error
@@ -84,20 +84,24 @@
 
 
 class Caller(Protocol):
-    """What passes calls on."""
+    """The part of a caller that the handler needs."""
 
     async def call(self, call: PlainCall) -> PlainAnswer:
-        """Pass one call on; raises RefusedError where it was not answered."""
+        """Forward a call and return the answer.
+
+        Raises:
+            RefusedError: The call was refused or got no complete answer.
+        """
 
 
 class PlainHandler:
-    """Handles ``/services/{service}/...``.
+    """Authorizes, admits and forwards calls to plain services.
 
     Args:
-        catalog: The configuration in force.
-        caller: Passes calls on.
-        drain: Counts the requests that are open.
-        gate: Admits requests.
+        catalog: The active configuration.
+        caller: The forwarder of calls.
+        drain: The tracker of open requests.
+        gate: The admission control.
     """
 
     def __init__(
@@ -109,7 +113,11 @@
         self._drain = drain
 
     async def serve(self, request: web.Request) -> web.Response:
-        """Serve one call."""
+        """Forward a call and return the endpoint's answer.
+
+        Raises:
+            RefusedError: The call was rejected, or no complete answer was received.
+        """
         workspace = find_workspace(self._catalog, request)
         service = find_service(
             self._catalog,
@@ -135,7 +143,7 @@
 
 
 def open_session() -> aiohttp.ClientSession:
-    """Return a client session that never repeats a call by itself."""
+    """Return a client session that never retries a call by itself."""
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     session = aiohttp.ClientSession(
         connector=connector,
@@ -143,14 +151,14 @@
         auto_decompress=False,
         trace_configs=[_trace_connections()],
     )
-    # The library repeats GET, PUT and DELETE on a broken connection and has no
-    # public switch for it; tests/test_plain.py proves that this one works.
+    # aiohttp retries GET, PUT and DELETE when a connection breaks and has no public
+    # option against that; tests/test_plain.py checks that this private one works.
     session._retry_connection = False
     return session
 
 
 def _trace_connections() -> aiohttp.TraceConfig:
-    """Return hooks that call ``before_send`` between connection and first byte."""
+    """Return hooks that run ``before_send`` between the connect and the first byte."""
 
     async def check(session: object, context: object, params: object) -> None:
         if context.trace_request_ctx is not None:
@@ -177,7 +185,7 @@
         service=service,
         method=request.method,
         path=path,
-        headers=_passed_on(request.headers),
+        headers=_forwarded_headers(request.headers),
         body=body,
         repeatable=_is_repeatable(request, service),
         key=key,
@@ -190,11 +198,11 @@
     text = request.headers.get(REPEATABLE_HEADER, "").lower()
     if text not in ("", "yes", "no"):
         raise bad_header(REPEATABLE_HEADER, "'yes' or 'no'")
-    # A caller may forbid a repeat that the service allows, never the reverse.
+    # A caller may forbid retries that the service allows, but not allow more.
     return service.repeatable and text != "no"
 
 
-def _passed_on(headers: "CIMultiDict[str]") -> "CIMultiDict[str]":
+def _forwarded_headers(headers: "CIMultiDict[str]") -> "CIMultiDict[str]":
     named = headers.get("Connection", "").lower().split(",")
     dropped = _HOP_HEADERS | {name.strip() for name in named}
     return CIMultiDict(
--- a/passtally/statsd_metrics.py
+++ b/passtally/statsd_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd."""
+"""Metrics sent to a statsd server."""
 
 from datetime import timedelta
 
@@ -13,11 +13,11 @@
 
 
 class StatsdMetrics:
-    """Sends metrics by UDP; one that is lost is lost.
+    """A metrics sink that sends UDP datagrams. Lost datagrams are not sent again.
 
     Args:
-        address: Where they go.
-        host_id: This host's name, part of each metric's name.
+        address: The address of the statsd server.
+        host_id: The id of this host, which becomes part of every metric's name.
     """
 
     def __init__(self, *, address: Address, host_id: str) -> None:
@@ -26,22 +26,22 @@
         )
 
     def count(self, metric: Metric, part: str = "") -> None:
-        """Count one."""
+        """Send an increment of a counter."""
         self._client.incr(f"{metric}.{part}" if part else metric.value)
 
     def time(self, metric: Metric, duration: timedelta) -> None:
-        """Record how long something took."""
+        """Send a duration."""
         self._client.timing(metric.value, duration)
 
     def gauge(self, metric: Metric, value: float) -> None:
-        """Record how much there is of something."""
+        """Send the value of a gauge."""
         self._client.gauge(metric.value, value)
 
 
 async def report_gauges(
     *, metrics: Metrics, status: StatusReader, clock: Clock
 ) -> None:
-    """Send the gauges now and then, for ever."""
+    """Send the gauges every `GAUGE_INTERVAL`, until cancelled."""
     while True:
         await clock.sleep(GAUGE_INTERVAL)
         state = await status.read()
--- a/passtally/text_metrics.py
+++ b/passtally/text_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as text, for who fetches them."""
+"""Metrics in the Prometheus text format, for collectors that scrape the host."""
 
 from datetime import timedelta
 
@@ -12,12 +12,12 @@
 
 from passtally.metrics import PREFIX, Metric
 
-#: Upper bounds of the histograms' buckets, in seconds: the aims lie at 0.1 to 4.5.
+#: Upper bounds of the histogram buckets, in seconds. Latency targets are 0.1 to 4.5 s.
 TIME_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.7, 1, 2, 4.5, 10, 25)
 
 
 class TextMetrics:
-    """Keeps metrics until they are fetched as text."""
+    """A metrics sink that keeps the current values and renders them as text."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -28,19 +28,19 @@
             self._add(metric)
 
     def count(self, metric: Metric, part: str = "") -> None:
-        """Count one."""
+        """Add one to a counter."""
         self._counters[metric].labels(part=part).inc()
 
     def time(self, metric: Metric, duration: timedelta) -> None:
-        """Record how long something took."""
+        """Record a duration in the histogram of a timer."""
         self._histograms[metric].observe(duration.total_seconds())
 
     def gauge(self, metric: Metric, value: float) -> None:
-        """Record how much there is of something."""
+        """Set a gauge."""
         self._gauges[metric].set(value)
 
     def render(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def _add(self, metric: Metric) -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input: one clear JSON error with a code, and nothing was run."""
+"""Invalid requests get a JSON error with the right code, and are not run."""
 
 import http.client
 import json
@@ -14,7 +14,7 @@
 
 @pytest.fixture(scope="module")
 def small(tmp_path_factory) -> Iterator[System]:
-    """One host, one engine."""
+    """A host with low limits and one engine."""
     with Processes(tmp_path_factory.mktemp("small")) as processes:
         processes.start_platform()
         engine = processes.start_engine("runner-pilar")
@@ -66,7 +66,7 @@
             ("/services/drafting/x", b"", 404, "unknown_service"),
         ],
     )
-    def test_each_has_its_code(self, small, path, body, status, code):
+    def test_each_invalid_request_has_its_code(self, small, path, body, status, code):
         got, answer = post(small, path, body)
         assert (got, answer["error"]["code"]) == (status, code)
         assert answer["error"]["outcome"] == "not_run"
@@ -82,12 +82,12 @@
             ({"X_Timeout": "soon"}, 400, "bad_request"),
         ],
     )
-    def test_bad_headers_too(self, small, headers, status, code):
+    def test_each_invalid_header_has_its_code(self, small, headers, status, code):
         got, answer = post(small, CHAT, chat(), **headers)
         assert (got, answer["error"]["code"]) == (status, code)
         assert answer["error"]["outcome"] == "not_run"
 
-    def test_good_input_still_works_after_all_that(self, small):
+    def test_valid_requests_still_work_afterwards(self, small):
         status, answer = post(small, CHAT, chat())
         assert status == 200
         assert answer["choices"][0]["message"]["content"] == "User: Hi"
@@ -96,7 +96,7 @@
         )
         assert answer["choices"][0]["text"] == "A B"
 
-    def test_more_than_the_host_takes_is_refused_at_once(self, small):
+    def test_requests_above_the_stream_limit_are_refused(self, small):
         long = "word " * 400
         results = []
         threads = [
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,8 +1,8 @@
-"""Which endpoints a call goes to when some take no connection.
+"""Failover of calls to other endpoints, after failed connects and slow answers.
 
-The pattern: all hosts start together, or a large change reaches them, and connections
-take longer than the 150 ms that they are given. On a played day of 195 hosts 348 calls
-were refused after two such endpoints, of five that were all well.
+When all hosts start together or receive a large change, connects take longer than their
+timeout of 150 ms. In a simulated day of 195 hosts, 348 calls were refused after two
+failed connects, although all five endpoints were healthy.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from passtally.objects import Endpoint, Service, ServiceKind
 from passtally.outcome import RefusedError
 from passtally.plain import (
-    MAX_CONNECTS,
+    MAX_CONNECT_FAILURES,
     PlainAnswer,
     PlainCall,
     PlainCaller,
@@ -32,7 +32,7 @@
 
 
 class LossySender:
-    """Loses the first calls in the ways that it is told, then answers."""
+    """A sender that fails the first calls with the given losses, then answers."""
 
     def __init__(self, *losses: LossKind) -> None:
         self.losses = list(losses)
@@ -103,19 +103,19 @@
 
 
 class TestCallsWithoutConnection:
-    def test_it_goes_to_another_endpoint_though_it_may_be_sent_once_only(self):
-        sender = LossySender(*[LossKind.UNREACHABLE] * (MAX_CONNECTS - 1))
+    def test_a_call_with_one_attempt_tries_other_endpoints(self):
+        sender = LossySender(*[LossKind.UNREACHABLE] * (MAX_CONNECT_FAILURES - 1))
         assert run_call(sender).status == 200
-        assert len(set(sender.asked)) == MAX_CONNECTS
+        assert len(set(sender.asked)) == MAX_CONNECT_FAILURES
 
-    def test_after_a_few_it_is_refused_as_not_run(self):
+    def test_after_the_maximum_the_call_is_refused_as_not_run(self):
         sender = LossySender(*[LossKind.UNREACHABLE] * 8)
         with pytest.raises(RefusedError) as caught:
             run_call(sender, repeatable=True, max_attempts=3)
-        assert len(sender.asked) == MAX_CONNECTS
+        assert len(sender.asked) == MAX_CONNECT_FAILURES
         assert caught.value.failure.status == 503
 
-    def test_what_was_sent_counts_as_before(self):
+    def test_a_sent_call_counts_as_an_attempt(self):
         sender = LossySender(LossKind.RESET, LossKind.RESET)
         with pytest.raises(RefusedError):
             run_call(sender, repeatable=True, max_attempts=2)
@@ -127,7 +127,7 @@
 
 
 class SlowSender:
-    """Takes long over the first call, and answers the others at once."""
+    """A sender that answers the first call slowly and the others at once."""
 
     TAKES = timedelta(seconds=3)
 
@@ -147,16 +147,16 @@
 
 
 class TestPatience:
-    """A repeatable call that its endpoint takes long over.
+    """A repeatable call to a slow endpoint fails over only if it can run elsewhere.
 
-    It goes on elsewhere where that is possible; else what its endpoint has done for it
-    would be lost, and its caller is told that nothing answered.
+    Without a retry or another endpoint, an abort would discard the work done so far,
+    and the caller would get an error instead of a late answer.
     """
 
     PATIENCE = timedelta(milliseconds=600)
 
     def run(self, *, most: float, endpoints: int = 8, earn_at: float | None = None):
-        """Run a slow call; return its sender, and when it was answered."""
+        """Run a slow call; return its sender and the time of the answer in seconds."""
 
         async def test() -> tuple[SlowSender, float]:
             clock, sender = VirtualClock(), SlowSender()
@@ -180,23 +180,23 @@
 
         return run_virtually(test())
 
-    def test_it_goes_on_elsewhere(self):
+    def test_it_fails_over(self):
         sender, ended = self.run(most=20)
         assert len(set(sender.asked)) == 2
         assert sender.cancelled == sender.asked[:1]
         assert ended == pytest.approx(0.6, abs=0.01)
 
-    def test_without_a_repeat_it_waits_on(self):
+    def test_without_a_retry_it_keeps_waiting(self):
         sender, ended = self.run(most=0)
         assert len(sender.asked) == 1
         assert ended == pytest.approx(3, abs=0.01)
 
-    def test_without_another_endpoint_it_waits_on(self):
+    def test_without_another_endpoint_it_keeps_waiting(self):
         sender, ended = self.run(most=20, endpoints=1)
         assert len(sender.asked) == 1
         assert ended == pytest.approx(3, abs=0.01)
 
-    def test_it_goes_on_elsewhere_once_a_repeat_is_earned(self):
+    def test_it_fails_over_once_a_retry_is_earned(self):
         sender, ended = self.run(most=0, earn_at=1)
         assert len(set(sender.asked)) == 2
         assert ended == pytest.approx(1.2, abs=0.21)
--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -1,4 +1,4 @@
-"""A failure domain is cut off from the platform and the others, and comes back."""
+"""A failure domain is partitioned from the platform and its peers, and reconnects."""
 
 import signal
 import sys
@@ -13,17 +13,17 @@
 
 
 class CutSystem(System):
-    """Two failure domains with links between them and to the platform."""
+    """Two failure domains whose links to each other and the platform can be cut."""
 
     links: list[Process]
 
     def cut(self) -> None:
-        """Cut pilar off from the platform and from tigre."""
+        """Partition pilar from the platform and from tigre."""
         for link in self.links:
             link.signal(signal.SIGSTOP)
 
     def heal(self) -> None:
-        """Bring the links back."""
+        """Restore the links."""
         for link in self.links:
             link.signal(signal.SIGCONT)
 
@@ -41,7 +41,7 @@
 
 
 @pytest.fixture
-def parted(tmp_path) -> Iterator[CutSystem]:
+def cut_system(tmp_path) -> Iterator[CutSystem]:
     with Processes(tmp_path) as processes:
         platform = processes.start_platform()
         domains = ("pilar", "tigre")
@@ -80,27 +80,31 @@
 
 
 class TestCut:
-    def test_each_side_serves_what_it_can_and_they_come_together(self, parted):
-        wait_until(lambda: status(parted, "entry-b")["peers"][0]["alive"])
-        parted.cut()
+    def test_both_sides_serve_safely_and_converge_after_healing(self, cut_system):
+        wait_until(lambda: status(cut_system, "entry-b")["peers"][0]["alive"])
+        cut_system.cut()
         for host in ("entry-a", "entry-b"):
-            assert parted.chat(host).text == EXPECTED
-        refused = book(parted, "entry-a", "s1", key="k1", timeout=60)
+            assert cut_system.chat(host).text == EXPECTED
+        refused = book(cut_system, "entry-a", "s1", key="k1", timeout=60)
         assert refused.error["code"] == "claims_unavailable"
         assert refused.error["outcome"] == "not_run"
-        assert book(parted, "entry-b", "s1", key="k1").status == 200
+        assert book(cut_system, "entry-b", "s1", key="k1").status == 200
         value = '{"id": "w2", "token_sha256": "%s"}' % ("0" * 64)
-        answer = operate(parted, "entry-b", "workspace", "put", "w2", value)
-        assert status(parted, "entry-a")["config_version"] < answer["version"]
+        answer = operate(cut_system, "entry-b", "workspace", "put", "w2", value)
+        assert status(cut_system, "entry-a")["config_version"] < answer["version"]
         wait_until(
-            lambda: not status(parted, "entry-b")["peers"][0]["alive"], seconds=60
+            lambda: not status(cut_system, "entry-b")["peers"][0]["alive"], seconds=60
         )
-        parted.heal()
+        cut_system.heal()
         wait_until(
-            lambda: status(parted, "entry-a")["config_version"] >= answer["version"],
+            lambda: (
+                status(cut_system, "entry-a")["config_version"] >= answer["version"]
+            ),
             seconds=60,
         )
-        wait_until(lambda: status(parted, "entry-b")["peers"][0]["alive"], seconds=60)
-        again = book(parted, "entry-a", "s1", key="k1", timeout=60)
+        wait_until(
+            lambda: status(cut_system, "entry-b")["peers"][0]["alive"], seconds=60
+        )
+        again = book(cut_system, "entry-a", "s1", key="k1", timeout=60)
         assert again.status in (200, 409)
-        assert runs(parted, "s1") == 1
+        assert runs(cut_system, "s1") == 1
--- a/tests/test_domain_return.py
+++ b/tests/test_domain_return.py
@@ -1,8 +1,9 @@
-"""A failure domain that reaches the platform again while the configuration changes.
+"""A failure domain reconnects to the platform while the configuration keeps changing.
 
-The pattern: 19 hosts on links of 5 Mbit/s (or 10) were cut off for 5.5 s beside a
-change every 200 ms. What they lack must not fill their links: the newest state must be
-on each within 2 s, of the 4 s after which a change must be in force.
+19 hosts on links of 5 or 10 Mbit/s are cut off for 5.5 s while the configuration
+changes every 200 ms. The transfer of the missed changes must not saturate the links:
+each host must have the newest state within 2 s of the 4 s in which a change must become
+active.
 """
 
 import asyncio
@@ -20,31 +21,31 @@
 from tests.test_piled_changes import RatedStore
 
 HOSTS = 19
-GAP_S = 0.2
-BEFORE_S = 2.0
-AWAY_S = 5.5
-BACK_WITHIN = 2.0
+CHANGE_INTERVAL_S = 0.2
+LEAD_TIME_S = 2.0
+OUTAGE_S = 5.5
+CATCH_UP_LIMIT_S = 2.0
 KEY = "config/main"
 
 
 class CutDomain(Fleet):
-    """A domain whose hosts' links also carry what the platform answers."""
+    """A failure domain whose hosts receive the platform's answers over rated links."""
 
     def __init__(self, *, bits_per_second: float) -> None:
         super().__init__(hosts=HOSTS, bits_per_second=bits_per_second)
         self.rate = bits_per_second
-        self.ways: list[RatedStore] = []
+        self.stores: list[RatedStore] = []
 
     def start_all(self) -> None:
         for row in self.rows:
-            way = RatedStore(platform=self.platform, bits_per_second=self.rate)
-            self.start(row, platform=way)
-            way.down = self.network.peers_by_id[row.host_id].down
-            self.ways.append(way)
+            store = RatedStore(platform=self.platform, bits_per_second=self.rate)
+            self.start(row, platform=store)
+            store.down = self.network.peers_by_id[row.host_id].down
+            self.stores.append(store)
 
-    def shut(self, is_shut: bool) -> None:
-        for way in self.ways:
-            way.is_shut = is_shut
+    def set_links_cut(self, is_cut: bool) -> None:
+        for store in self.stores:
+            store.is_shut = is_cut
 
     def _follow(self, host_id: str, share: SharedWatch, view: View) -> Follower:
         return Follower(
@@ -64,7 +65,7 @@
 
 class TestDomainReturn:
     @pytest.mark.parametrize(("routes", "rate"), [(50, 5e6), (380, 5e6), (1980, 10e6)])
-    def test_each_host_soon_has_the_newest_state(self, routes, rate):
+    def test_each_host_has_the_newest_state_within_two_seconds(self, routes, rate):
         async def test() -> None:
             domain = CutDomain(bits_per_second=rate)
             values = [make_config(number, routes=routes) for number in range(80)]
@@ -73,12 +74,12 @@
             domain.start_all()
             await asyncio.sleep(8)
             storm = asyncio.create_task(change_often(domain, values[1:]))
-            await asyncio.sleep(BEFORE_S)
-            domain.shut(True)
-            await asyncio.sleep(AWAY_S)
-            domain.shut(False)
+            await asyncio.sleep(LEAD_TIME_S)
+            domain.set_links_cut(True)
+            await asyncio.sleep(OUTAGE_S)
+            domain.set_links_cut(False)
             newest = bytes(domain.platform.objects_by_key[KEY].value)
-            await asyncio.sleep(BACK_WITHIN)
+            await asyncio.sleep(CATCH_UP_LIMIT_S)
             held = [number_by_value[value] for value in domain.values_by_host.values()]
             assert min(held) >= number_by_value[newest]
             storm.cancel()
@@ -90,4 +91,4 @@
     for value in values:
         version = domain.platform.objects_by_key[KEY].version
         await domain.platform.update(KEY, value, version=version)
-        await asyncio.sleep(GAP_S)
+        await asyncio.sleep(CHANGE_INTERVAL_S)
--- a/tests/test_own_pauses.py
+++ b/tests/test_own_pauses.py
@@ -1,14 +1,10 @@
-"""A host that was paused delivers what came meanwhile.
+"""A host that was paused delivers the answers that arrived during the pause.
 
-What happened: after pauses of a host, 10 to 31 calls a run ended as `lost by frozen`,
-with 504 to their callers, though their endpoints had answered.
-
-Why: a host that runs again finds its timers due before it looks at what has arrived.
-A call's time limit, or its patience with a slow endpoint, then ended it with the answer
-unread.
-
-What showed it: a host that is stopped for longer than a call's time, and whose endpoint
-answers in between: the answer lies in the socket, the log says `lost by frozen`.
+After a pause, the timers of a host expire before the host reads its sockets. The time
+limit of a call, or its patience with a slow endpoint, then aborted the call although
+the answer was waiting in the socket: 10 to 31 calls of a run were logged as `lost by
+frozen`, and their callers got a 504. The tests stop a host for longer than the time
+limit of a call whose endpoint answers in the meantime.
 """
 
 import asyncio
@@ -46,25 +42,25 @@
         runner.run(test())
 
 
-class TestFairTimeout:
+class TestPauseAwareTimeout:
     @LOOPS
-    def test_what_came_while_the_host_did_not_run_is_taken(self, new_loop):
+    def test_a_result_that_arrived_during_a_pause_is_returned(self, new_loop):
         async def test() -> None:
             loop = asyncio.get_running_loop()
             async with PauseAwareTimeout(
                 timedelta(milliseconds=50), clock=SystemClock()
             ):
-                # Told in the pass of the loop after that of the timers.
+                # The result arrives one loop iteration after the timers expire.
                 loop.call_soon(time.sleep, 0.2)
                 await asyncio.sleep(0)
-                came = loop.create_future()
-                loop.call_later(0.001, lambda: loop.call_soon(came.set_result, 1))
-                assert await came == 1
+                pending = loop.create_future()
+                loop.call_later(0.001, lambda: loop.call_soon(pending.set_result, 1))
+                assert await pending == 1
 
         run_in(new_loop, test)
 
     @LOOPS
-    def test_nothing_that_comes_is_not_waited_for(self, new_loop):
+    def test_without_a_result_the_timeout_expires_soon_after_a_pause(self, new_loop):
         async def test() -> None:
             loop = asyncio.get_running_loop()
             began = loop.time()
@@ -79,7 +75,7 @@
         run_in(new_loop, test)
 
     @LOOPS
-    def test_one_that_runs_ends_in_time(self, new_loop):
+    def test_without_a_pause_the_timeout_expires_on_time(self, new_loop):
         async def test() -> None:
             with pytest.raises(TimeoutError):
                 async with PauseAwareTimeout(
@@ -101,7 +97,7 @@
         run_in(new_loop, test)
 
     @LOOPS
-    def test_a_sleep_that_ends_late_lasts_a_last_look_longer(self, new_loop):
+    def test_a_late_sleep_is_extended_by_a_last_check(self, new_loop):
         async def test() -> None:
             loop = asyncio.get_running_loop()
             loop.call_soon(time.sleep, 0.2)
@@ -113,9 +109,10 @@
 
 
 class TestSuspendedMachine:
-    # Guards against limits that go on for their rest after a suspension, though who
-    # waits has waited all along: timers of a loop don't count it.
-    def test_a_limit_that_passed_meanwhile_ends_soon(self):
+    # The timers of an event loop don't count the time of a suspension. Without a
+    # correction a limit would last for its full remaining time after the suspension,
+    # although the caller has been waiting throughout.
+    def test_a_limit_that_passed_during_the_suspension_expires_soon(self):
         async def test() -> None:
             clock = SuspendableClock()
             loop = asyncio.get_running_loop()
@@ -127,7 +124,7 @@
 
         run_virtually(test())
 
-    def test_one_that_lasts_on_lasts_for_what_is_left(self):
+    def test_a_limit_that_has_not_passed_lasts_for_the_remaining_time(self):
         async def test() -> None:
             clock = SuspendableClock()
             loop = asyncio.get_running_loop()
@@ -139,27 +136,27 @@
 
         run_virtually(test())
 
-    def test_what_lies_there_is_taken_first(self):
+    def test_a_result_that_is_waiting_is_returned_first(self):
         async def test() -> None:
             clock = SuspendableClock()
             loop = asyncio.get_running_loop()
-            came = loop.create_future()
+            pending = loop.create_future()
 
             def wake() -> None:
                 clock.suspend(timedelta(seconds=7))
-                # Heard a moment after the timers.
-                loop.call_later(0.005, came.set_result, 1)
+                # The result arrives 5 ms after the timers expire.
+                loop.call_later(0.005, pending.set_result, 1)
 
             loop.call_later(0.999, wake)
             async with PauseAwareTimeout(timedelta(seconds=3), clock=clock):
-                assert await came == 1
+                assert await pending == 1
 
         run_virtually(test())
 
 
 @contextlib.asynccontextmanager
 async def serving(folder, **faults) -> AsyncIterator[tuple[Running, RunnerStandIn]]:
-    """Start a host's process before one endpoint of each service."""
+    """Run a host process with one endpoint of each service."""
     runners = []
     try:
         async with settled(folder) as place:
@@ -180,7 +177,7 @@
 
 
 async def call(host: Running, path: str, *, deadline: float, number: int = 1) -> int:
-    """Send a call and return the status of its whole answer, 0 where none came."""
+    """Send a call and return the status of the answer, or 0 if there was none."""
     reader, writer = await asyncio.open_connection("127.0.0.1", host.front)
     head = (
         f"POST {path} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: q{number}\r\n"
@@ -194,15 +191,12 @@
 
 
 class TestStopBesideLoad:
-    """A stop under callers that keep sending, on a machine that has much to do.
-
-    What happened: stops took 5.94 s and 5.33 s of a grace of 6 s, 2.97 s of 3 s.
-
-    Why: callers that keep coming keep a host open until 0.6 s are left for its end. Of
-    these the interpreter took 0.1 s to take itself apart after the last line of the
-    log, and 0.3 s on a busy machine: nothing that anybody needs.
+    """A host stops within its grace period on a busy machine under steady requests.
 
-    What showed it: the times of the last lines, beside that of the end of the process.
+    Callers that keep sending keep a host open until 0.6 s of the grace period are left
+    for the exit. The shutdown of the interpreter after the last log line took 0.1 s of
+    these, and 0.3 s on a busy machine, without any use. Stops took 5.94 s and 5.33 s of
+    a grace period of 6 s, and 2.97 s of 3 s.
     """
 
     def test_it_ends_with_half_of_its_margin_left(self, tmp_path):
@@ -238,7 +232,7 @@
 
 class TestPausedHost:
     @pytest.mark.parametrize("path", ["/look/1", "/book/1"])
-    def test_an_answer_that_came_meanwhile_is_delivered(self, tmp_path, path):
+    def test_an_answer_that_arrived_during_the_pause_is_delivered(self, tmp_path, path):
         async def main() -> None:
             async with serving(tmp_path, answer_delay=0.4) as (host, runner):
                 calling = asyncio.create_task(call(host, path, deadline=1.0))
@@ -253,7 +247,7 @@
         asyncio.run(main())
 
     def test_calls_of_many_callers_are_delivered(self, tmp_path):
-        """Pauses in a row, some of them longer than what a call has left."""
+        """Repeated pauses, some of which outlast the time limits of open calls."""
 
         async def main() -> None:
             async with serving(tmp_path, answer_delay=0.15) as (host, runner):
@@ -267,13 +261,13 @@
                     if number % 25 == 10:
                         host.process.send_signal(signal.SIGSTOP)
                         await asyncio.sleep(0.3)
-                        # These are answered while the host is stopped.
+                        # Endpoints answer these calls while the host is stopped.
                         answered |= set(runner.ran)
                         await asyncio.sleep(0.5)
                         host.process.send_signal(signal.SIGCONT)
                 statuses = await asyncio.gather(*calls)
-                # Each was sent on and answered, but for those that came while the
-                # host was stopped and had no time left then.
+                # Every call was forwarded and answered, except for calls that arrived
+                # while the host was stopped and whose time had run out by its end.
                 lost = [f"q{n}" for n, status in enumerate(statuses) if status == 504]
                 assert not lost, (lost, answered.intersection(lost))
 
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -1,4 +1,8 @@
-"""Plain services: at most once, honest outcomes, nothing repeated by a library."""
+"""Calls to plain services: at-most-once execution, outcomes, and aiohttp's retries.
+
+A call that may have run must not run again, whether it is retried by its caller, by a
+host or by the HTTP client library, and its outcome must not be reported as `not_run`.
+"""
 
 import asyncio
 import signal
@@ -20,7 +24,7 @@
 
 
 class Reply:
-    """One HTTP answer."""
+    """An HTTP answer with its decoded JSON body."""
 
     def __init__(self, status: int, headers, body: bytes) -> None:
         self.status = status
@@ -54,7 +58,7 @@
 
 @pytest.fixture
 def booking(tmp_path) -> Iterator[System]:
-    """Three hosts, one booking service that may not be repeated, the platform."""
+    """A platform, three hosts and a booking service that is not repeatable."""
     with Processes(tmp_path) as processes:
         processes.start_platform()
         endpoints = [(processes.start_booking(f"booking-{n}"), "pilar") for n in "12"]
@@ -83,7 +87,7 @@
         assert elsewhere.headers["Idempotency-Replayed"] == "true"
         assert runs(booking, "s1") == 1
 
-    def test_where_the_holder_is_gone_the_outcome_is_unknown(self, booking: System):
+    def test_with_an_unreachable_holder_the_outcome_is_unknown(self, booking: System):
         assert book(booking, "entry-a", "s0", key="k0").status == 200
         booking["entry-a"].kill()
         reply = book(booking, "entry-b", "s0", key="k0")
@@ -94,7 +98,7 @@
         assert reply.headers["Retry-After"]
         assert runs(booking, "s0") == 1
 
-    def test_a_lost_answer_is_unknown_and_is_not_repeated(self, booking: System):
+    def test_a_lost_answer_is_unknown_and_not_retried(self, booking: System):
         for name in ("booking-1", "booking-2"):
             booking[name].control(lose_answers=1)
         reply = book(booking, "entry-a", "s2", key="k2")
@@ -105,13 +109,13 @@
         assert book(booking, "entry-b", "s2", key="k2").status == 409
         assert runs(booking, "s2") == 1
 
-    def test_without_a_key_a_lost_answer_is_not_repeated_either(self, booking):
+    def test_without_a_key_a_lost_answer_is_not_retried_either(self, booking):
         for name in ("booking-1", "booking-2"):
             booking[name].control(lose_answers=1)
         assert book(booking, "entry-a", "s3").error["outcome"] == "unknown"
         assert runs(booking, "s3") == 1
 
-    def test_a_platform_outage_is_not_run_and_the_key_stays_usable(self, booking):
+    def test_in_a_platform_outage_nothing_runs_and_the_key_stays_usable(self, booking):
         booking.processes.platform.control(outage=True)
         reply = book(booking, "entry-a", "s4", key="k4")
         assert reply.status == 503
@@ -135,21 +139,23 @@
         assert book(booking, "entry-a", "s10", key="k10").status == 200
         assert runs(booking, "s10") == 1
 
-    def test_an_answer_of_the_platform_lost_after_the_write(self, booking: System):
+    def test_a_lost_answer_to_a_claim_write_does_not_fail_the_call(
+        self, booking: System
+    ):
         booking.processes.platform.control(lose_answers=1)
         assert book(booking, "entry-a", "s5", key="k5").status == 200
         assert runs(booking, "s5") == 1
 
-    def test_no_endpoint_in_reach_is_not_run(self, booking: System):
+    def test_without_reachable_endpoints_the_call_is_not_run(self, booking: System):
         booking["booking-1"].kill()
         booking["booking-2"].kill()
         reply = book(booking, "entry-a", "s6", key="k6")
         assert reply.error["outcome"] == "not_run"
         assert reply.error["step"] in ("connect", "route")
 
-    def test_a_host_that_slept_after_its_claim_does_not_send(self, booking: System):
-        # Its first host in the way is stopped, so the claim takes a while; the
-        # holder is stopped meanwhile and wakes up after the window.
+    def test_a_host_paused_after_its_claim_does_not_send(self, booking: System):
+        # The platform is slow, so that the claim takes about a second. The host is
+        # stopped during the claim and continues after the send window has passed.
         booking.processes.platform.control(latency=1.0)
         loop = asyncio.new_event_loop()
         work = loop.run_in_executor(
@@ -171,7 +177,7 @@
         assert (reply.status, reply.error["code"]) == (422, "key_reused")
         assert reply.error["outcome"] == "not_run"
 
-    def test_a_caller_may_forbid_repeats_but_not_allow_them(self, booking: System):
+    def test_a_caller_may_forbid_retries_but_not_allow_them(self, booking: System):
         reply = book(booking, "entry-a", "s9", X_Repeatable="maybe")
         assert reply.error["code"] == "bad_request"
         for name in ("booking-1", "booking-2"):
@@ -181,20 +187,24 @@
 
 
 class TestClientLibrary:
-    """What the HTTP client must not do by itself."""
+    """aiohttp must neither retry a call by itself nor send it after a refusal."""
 
     @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "POST"])
-    def test_a_broken_connection_is_not_repeated(self, method):
-        hits = asyncio.run(self._count_hits(method, _break))
+    def test_a_call_is_not_retried_on_a_broken_connection(self, method):
+        hits = asyncio.run(self._count_hits(method, _abort_connection))
         assert hits == 1
 
-    def test_before_send_holds_a_call_back_before_its_first_byte(self):
-        hits = asyncio.run(self._count_hits("POST", _break, before_send=_hold_back))
+    def test_before_send_can_refuse_a_call_before_its_first_byte(self):
+        hits = asyncio.run(
+            self._count_hits("POST", _abort_connection, before_send=_refuse)
+        )
         assert hits == 0
 
-    def test_the_library_as_it_comes_would_repeat(self):
+    def test_aiohttp_retries_by_default(self):
         hits = asyncio.run(
-            self._count_hits("GET", _break, open_client=aiohttp.ClientSession)
+            self._count_hits(
+                "GET", _abort_connection, open_client=aiohttp.ClientSession
+            )
         )
         assert hits == 2
 
@@ -224,12 +234,12 @@
         return len(hits)
 
 
-async def _break(request: web.Request) -> web.Response:
+async def _abort_connection(request: web.Request) -> web.Response:
     request.transport.abort()
     return web.Response()
 
 
-def _hold_back() -> None:
+def _refuse() -> None:
     raise refuse(
         Code.CLAIM_LAPSED,
         "slept",
