--- a/passtally/budget_loans.py
+++ b/passtally/budget_loans.py
@@ -1,8 +1,8 @@
-"""Lets a host borrow from the budgets of the hosts that it is linked to.
+"""Lets a host borrow from the retry budgets of the hosts that it is linked to.
 
-The budget of a service is shared by all hosts. Among 195 of them a host sees one stream
-in ten seconds, which earns it 0.8 of a repeat: a stream that is lost twice would end,
-while all hosts together use an eighth of what they may.
+All hosts share the budget of a service. Among 195 hosts each serves one stream in ten
+seconds, which earns it 0.8 of a retry: without loans a stream that is lost twice would
+end, while all hosts together use an eighth of the budget.
 """
 
 import random
@@ -14,21 +14,22 @@
 from passtally.retry_budget import ServiceBudgets
 from passtally.roster import Roster
 
-#: How many hosts are asked for one repeat. Each has something left if it took a request
-#: in the last window, two in three among 195 hosts.
+#: Maximum number of hosts that are asked for one retry. A host has something to lend if
+#: it received a request in the last window; among 195 hosts two in three have.
 MAX_ASKED = 4
-#: How long each may take. A caller notices a pause of 700 ms, of which finding a loss
-#: takes 300 ms; a host of the same failure domain answers within 2 ms.
+#: Timeout for each of these hosts. A caller notices a pause of 700 ms, of which the
+#: detection of a loss takes 300 ms; a host of the same failure domain answers within
+#: 2 ms.
 ASK_TIMEOUT = timedelta(milliseconds=60)
 
 
 class BudgetLoans:
-    """Asks linked hosts for repeats, and lends them some.
+    """Borrows retries from linked hosts, and lends them some.
 
     Args:
         peers: The links.
-        roster: Who is there.
-        rng: Where the choice of hosts comes from.
+        roster: The known hosts.
+        rng: The source of randomness for the choice of hosts.
     """
 
     def __init__(self, *, peers: Peers, roster: Roster, rng: random.Random) -> None:
@@ -39,16 +40,16 @@
         peers.on(BorrowRepeats, self._answer)
 
     def lend_from(self, budgets: ServiceBudgets, *, scope: str = "") -> None:
-        """Answer other hosts with what a budget has left.
+        """Lend other hosts what a budget has left.
 
         Args:
             budgets: The budget.
-            scope: What it is of; empty for repeats.
+            scope: The kind of budget; empty for the retry budget.
         """
         self._budgets_by_scope[scope] = budgets
 
     def stop_lending(self, scope: str) -> None:
-        """Answer no more for a budget."""
+        """Lend nothing more from a budget."""
         self._budgets_by_scope.pop(scope, None)
 
     async def _answer(self, message: BorrowRepeats) -> RepeatsLent:
@@ -58,12 +59,12 @@
         return RepeatsLent(amount=budgets.lend(message.service, message.amount))
 
     async def ask(self, service: str, amount: float, *, scope: str = "") -> float:
-        """Ask some hosts, one after the other, and return what they lent.
+        """Ask some hosts, one after the other, and return the amount that they lent.
 
         Args:
             service: The service.
-            amount: The repeats, or the part of one, that this host lacks.
-            scope: Of which budgets; empty for those of repeats.
+            amount: The number of retries that this host lacks, which may be a fraction.
+            scope: The kind of budget; empty for the retry budget.
         """
         lent = 0.0
         host_ids = [row.host_id for row in self._roster.neighbours()]
@@ -75,7 +76,7 @@
                 break
         log_event(
             "budget",
-            "Borrowed.",
+            "Asked peers for a loan.",
             service=service,
             scope=scope,
             wanted=amount,
--- a/passtally/departures.py
+++ b/passtally/departures.py
@@ -1,9 +1,9 @@
-"""Which endpoints are leaving, learned from whoever says so first.
+"""Records which endpoints are leaving, from the first channel that reports it.
 
-The configuration, the platform's lagging host list, the endpoint's own reports
-and peers all tell. A departure is noted for one incarnation of an endpoint and
-stays; only a newer incarnation, from the configuration, brings it back, so no
-channel can do so by being late.
+The channels are the configuration, the platform's lagging host list, the endpoint's own
+reports and answers, and gossip. A departure applies to one incarnation of an endpoint
+and is permanent: only a newer incarnation, from the configuration, makes the endpoint
+usable again, so that a late channel can't undo a departure.
 """
 
 from collections.abc import Iterable, Sequence
@@ -16,11 +16,13 @@
 from passtally.objects import Endpoint, EndpointStart
 from passtally.service_index import ServiceIndex
 
+#: Interval between reads of the platform's host list.
 LIST_INTERVAL = timedelta(seconds=10)
+#: State of a host in the platform's list that is leaving, with its endpoints.
 LEAVING = "leaving"
-#: Departures told to peers in one message, those told least first.
+#: Maximum number of departures in one message; those sent least often go first.
 MAX_SENT = 10
-#: While one was told fewer times than this, peers are told at shorter intervals.
+#: Number of sends of each departure for which messages go out at shorter intervals.
 URGENT_SENDS = 16
 
 
@@ -29,17 +31,19 @@
 
     def __init__(self) -> None:
         self._incarnations_by_id: dict[str, int] = {}
-        self._told_by_id: dict[str, int] = {}
+        self._sends_by_id: dict[str, int] = {}
 
     def note(self, start: EndpointStart, *, channel: str) -> None:
-        """Take in that one start of an endpoint is leaving or has ended."""
+        """Record that one start of an endpoint is leaving or has terminated."""
         endpoint_id = start.endpoint_id
         known = self._incarnations_by_id.get(endpoint_id, -1)
         if start.incarnation <= known:
             return
         self._incarnations_by_id[endpoint_id] = start.incarnation
-        self._told_by_id[endpoint_id] = 0
-        log_event("departures", "Leaving.", peer=endpoint_id, channel=channel)
+        self._sends_by_id[endpoint_id] = 0
+        log_event(
+            "departures", "Endpoint is leaving.", peer=endpoint_id, channel=channel
+        )
 
     def is_leaving(self, endpoint: Endpoint) -> bool:
         """Return whether this incarnation of an endpoint is leaving."""
@@ -47,14 +51,14 @@
 
     @property
     def has_updates(self) -> bool:
-        """Whether peers have hardly been told of some departure."""
-        return any(told < URGENT_SENDS for told in self._told_by_id.values())
+        """Whether a departure has been sent fewer than URGENT_SENDS times."""
+        return any(sends < URGENT_SENDS for sends in self._sends_by_id.values())
 
     def pop_updates(self) -> list[DepartureRow]:
-        """Return departures to tell peers, and count them as told."""
-        chosen = sorted(self._told_by_id, key=self._told_by_id.__getitem__)[:MAX_SENT]
+        """Return departures to send to peers, and count them as sent."""
+        chosen = sorted(self._sends_by_id, key=self._sends_by_id.__getitem__)[:MAX_SENT]
         for endpoint_id in chosen:
-            self._told_by_id[endpoint_id] += 1
+            self._sends_by_id[endpoint_id] += 1
         return [
             DepartureRow(
                 endpoint_id=endpoint_id,
@@ -64,7 +68,7 @@
         ]
 
     def merge(self, rows: Iterable[DepartureRow]) -> None:
-        """Take in what a peer tells."""
+        """Record the departures in a peer's message."""
         for row in rows:
             start = EndpointStart(
                 endpoint_id=row.endpoint_id, incarnation=row.incarnation
@@ -74,7 +78,7 @@
     def merge_host_list(
         self, hosts: Sequence[HostEntry], catalog: ServiceIndex
     ) -> None:
-        """Take in the platform's list of hosts."""
+        """Record the departures that the platform's host list implies."""
         leaving = {entry.id for entry in hosts if entry.state == LEAVING}
         for endpoint in catalog.endpoints_by_id.values():
             if endpoint.host in leaving:
@@ -82,12 +86,12 @@
 
 
 class HostListReader:
-    """Reads the platform's list of hosts now and then.
+    """Reads the platform's host list at intervals.
 
     Args:
-        departures: Where departures are noted.
+        departures: The known departures, to which new ones are added.
         catalog: The endpoints.
-        platform: Where the list is.
+        platform: The platform that keeps the list.
         clock: The clock.
     """
 
@@ -105,11 +109,11 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Read, for ever. An outage costs nothing but this channel."""
+        """Read the list until cancelled; an outage disables only this channel."""
         while True:
             try:
                 hosts = await self._platform.hosts()
                 self._departures.merge_host_list(hosts, self._catalog)
             except PlatformError as error:
-                log_event("departures", "Host list out of reach.", why=error)
+                log_event("departures", "Host list is unreachable.", why=error)
             await self._clock.sleep(LIST_INTERVAL)
--- a/passtally/drain.py
+++ b/passtally/drain.py
@@ -1,4 +1,4 @@
-"""A planned stop: out of the balancer, then waiting for the last request."""
+"""Graceful stop: leave the balancer, then wait until the last request has finished."""
 
 import asyncio
 from collections.abc import Iterator
@@ -7,29 +7,32 @@
 
 from passtally.outcome import Code, RefusedError, refuse
 
-#: How long a stopping host still takes requests while the balancer lags.
+#: Time for which a stopping host still accepts requests, until the balancer has noticed
+#: the stop.
 BALANCER_LAG = timedelta(seconds=5)
+#: Retry-After of requests above the limit of open requests.
 RETRY_AFTER = timedelta(seconds=1)
-#: A caller that is sent to another host may come at once.
+#: Retry-After of requests that are refused because this host stops: another host can
+#: take them at once.
 RETRY_ELSEWHERE = timedelta(milliseconds=50)
 
 
 class Drain:
-    """Counts the open requests, and tells whether the host is stopping.
+    """Counts the open requests, and holds the state of a stop.
 
     Args:
-        max_open: How many may be open at once.
+        max_open: The maximum number of requests that are open at once.
     """
 
     def __init__(self, *, max_open: int) -> None:
         self._max_open = max_open
         self.open_requests = 0
         self.is_stopping = False
-        #: Whether a stop is at its end: what is still open is broken off, and no
-        #: request is taken any more.
+        #: Whether a stop has reached its last step: open requests are aborted, and new
+        #: ones are refused.
         self.is_over = False
-        #: When what is still open is broken off, on the monotonic clock; None while the
-        #: host is not stopping, or waits for as long as it takes.
+        #: When open requests are aborted, on the monotonic clock; None while the host
+        #: is not stopping, or if it waits for them without a limit.
         self.ends_at: timedelta | None = None
         self._idle = asyncio.Event()
         self._idle.set()
@@ -39,7 +42,7 @@
         """Count one request while it is open.
 
         Raises:
-            RefusedError: As many as the host takes are open.
+            RefusedError: The maximum number of requests is open.
         """
         if self.open_requests >= self._max_open:
             raise refuse(
@@ -59,23 +62,23 @@
                 self._idle.set()
 
     def check_open(self) -> None:
-        """Refuse a request that the host would take only to break it off.
+        """Refuse a request that the host would abort immediately.
 
         Raises:
-            RefusedError: The host's stop is at its end; its sockets are being closed.
+            RefusedError: The host's stop is in its last step; sockets are being closed.
         """
         if self.is_over:
             raise _stopping()
 
     def check_time(self, needed: timedelta, *, now: timedelta) -> None:
-        """Refuse a request that could not be finished before the host ends.
+        """Refuse a request that could not finish before the host aborts open requests.
 
         Args:
-            needed: How long it is likely to take.
+            needed: The expected duration of the request.
             now: The monotonic time.
 
         Raises:
-            RefusedError: The host is about to stop.
+            RefusedError: The host stops before the request could finish.
         """
         if self.ends_at is not None and now + needed > self.ends_at:
             raise _stopping()
@@ -86,12 +89,12 @@
         balancer_lag: timedelta = BALANCER_LAG,
         ends_at: timedelta | None = None,
     ) -> None:
-        """Leave the balancer, serve what still comes, wait for the last request.
+        """Leave the balancer, serve late requests, and wait until all have finished.
 
         Args:
-            balancer_lag: How long the balancer may still send requests.
-            ends_at: When what is still open is broken off, on the monotonic clock;
-                None for never.
+            balancer_lag: The time for which the balancer may still send requests.
+            ends_at: When open requests are aborted, on the monotonic clock; None for
+                never.
         """
         self.is_stopping = True
         self.ends_at = ends_at
--- a/passtally/endpoint_backoff.py
+++ b/passtally/endpoint_backoff.py
@@ -1,8 +1,8 @@
-"""Endpoints that have asked this host for rest. Pure.
+"""Back-off from endpoints that rejected a request with Retry-After. Pure.
 
-An endpoint that turns a request away may name a time in which it wants nothing from the
-host that sent it. When that is over one request goes first: all that wait would turn up
-together, to be turned away together.
+An endpoint that rejects a request may name a time during which the host that sent it
+should send nothing more. After that time the host sends a single request as a probe:
+otherwise all waiting requests would arrive, and be rejected, at once.
 """
 
 from datetime import timedelta
@@ -12,33 +12,33 @@
 from passtally.decision import log_event
 from passtally.objects import EndpointStart
 
-#: The longest rest that is kept. Nobody means longer, and the endpoint's next start,
-#: which owes nothing, may not be known as one.
+#: Maximum back-off. A longer one is no sensible value, and may outlive the endpoint: a
+#: new start, to which the back-off does not apply, is not always recognised as one.
 MAX_BACKOFF = timedelta(hours=1)
-#: How long after a rest the first request goes alone, if no answer comes before: an
-#: endpoint that turns requests away does so within some milliseconds.
+#: Time after the probe during which no other request is sent, unless its answer arrives
+#: earlier. An endpoint that rejects requests does so within milliseconds.
 PROBE_WINDOW = timedelta(milliseconds=500)
 
 
 @attrs.define(kw_only=True)
 class _Backoff:
-    """One rest.
+    """The back-off from one endpoint.
 
     Attributes:
-        until: Until when, on the monotonic clock.
-        probe_until: Until when the first request after it goes alone; None before it.
+        until: The end of the back-off, on the monotonic clock.
+        probe_until: The end of the probe window; None until a probe is sent.
     """
 
     until: timedelta
     probe_until: timedelta | None = None
 
     def wait(self, now: timedelta) -> timedelta:
-        """Return how long it takes until a request may be sent."""
+        """Return the time until a request may be sent."""
         return max((self.probe_until or self.until) - now, timedelta(0))
 
 
 class EndpointBackoffs:
-    """The rests that endpoints have asked this host for."""
+    """The back-offs that endpoints have requested from this host."""
 
     def __init__(self) -> None:
         self._backoffs_by_start: dict[EndpointStart, _Backoff] = {}
@@ -46,55 +46,64 @@
     def record_answer(
         self,
         start: EndpointStart,
-        rest: timedelta | None,
+        retry_after: timedelta | None,
         *,
         sent_at: timedelta,
         now: timedelta,
     ) -> None:
-        """Take in what an answer asks for.
+        """Start, extend or end the back-off from an endpoint after an answer.
 
         Args:
-            start: The endpoint.
-            rest: For how long it wants no request; None where it asks for no rest.
-            sent_at: When its request was sent: one that was under way when the rest
-                began says nothing of its end.
+            start: The start of the endpoint.
+            retry_after: The back-off that the answer requests; None for none.
+            sent_at: When the request was sent, on the monotonic clock. Only the answer
+                to a request sent after the back-off ends it: an earlier request was
+                already in flight.
             now: The monotonic time.
         """
         known = self._backoffs_by_start.get(start)
-        if rest:
-            until = now + rest
+        if retry_after:
+            until = now + retry_after
             if known is None or until > known.until:
                 self._backoffs_by_start[start] = _Backoff(until=until)
             if known is None:
-                log_event("rests", "Asked for.", peer=start.endpoint_id, rest=rest)
+                log_event(
+                    "rests",
+                    "Back-off requested.",
+                    peer=start.endpoint_id,
+                    rest=retry_after,
+                )
         elif known is not None and sent_at >= known.until:
             del self._backoffs_by_start[start]
 
     def is_over(self, start: EndpointStart, *, now: timedelta) -> bool:
-        """Return whether an endpoint wants requests, as far as it has said."""
-        rest = self._backoffs_by_start.get(start)
-        return rest is None or rest.until <= now
+        """Return whether no back-off from an endpoint is active."""
+        backoff = self._backoffs_by_start.get(start)
+        return backoff is None or backoff.until <= now
 
     def may_send(self, start: EndpointStart, *, now: timedelta) -> bool:
-        """Return whether a request may be sent to an endpoint now."""
+        """Return whether neither a back-off nor a probe window is active."""
         return not self.wait(start, now=now)
 
     def take(self, start: EndpointStart, *, now: timedelta) -> bool:
-        """Count a request that is sent now, if it may be."""
+        """Return whether a request may be sent now, and if so count it as sent.
+
+        After a back-off the request is a probe: no other one is sent in its window.
+        """
         if not self.may_send(start, now=now):
             return False
-        rest = self._backoffs_by_start.get(start)
-        if rest is not None:
-            rest.probe_until = now + PROBE_WINDOW
+        backoff = self._backoffs_by_start.get(start)
+        if backoff is not None:
+            backoff.probe_until = now + PROBE_WINDOW
         return True
 
     def wait(self, start: EndpointStart, *, now: timedelta) -> timedelta:
-        """Return how long it takes until an endpoint may be sent a request."""
-        rest = self._backoffs_by_start.get(start)
-        return timedelta(0) if rest is None else rest.wait(now)
+        """Return the time until a request may be sent to an endpoint."""
+        backoff = self._backoffs_by_start.get(start)
+        return timedelta(0) if backoff is None else backoff.wait(now)
 
     def forget(self, endpoint_id: str) -> None:
-        """Forget an endpoint that is gone."""
+        """Remove the back-offs from all starts of a removed endpoint."""
         for start in list(self._backoffs_by_start):
             if start.endpoint_id == endpoint_id:
                 del self._backoffs_by_start[start]
--- a/passtally/endpoint_directives.py
+++ b/passtally/endpoint_directives.py
@@ -1,7 +1,7 @@
-"""What the heads of answers say of the endpoint that gave them.
+"""Directives that endpoints send in the headers of their answers.
 
-Each answer of an endpoint is asked for these words once, where its head is read, before
-its status is judged; whoever decides is told by :class:`DirectiveRecorder`.
+The directives of each answer are read once, when its head arrives and before its status
+is checked, and are passed to a :class:`DirectiveRecorder`.
 """
 
 from collections.abc import Mapping, Sequence
@@ -14,12 +14,13 @@
 from passtally.decision import log_event
 from passtally.objects import EndpointStart
 
-#: The most endpoints of which it is kept what they say that can't be read.
-MAX_KEPT = 64
+#: Maximum number of endpoints with invalid directives, and of unknown headers, that are
+#: remembered so that each is logged once.
+MAX_LOGGED = 64
 
 
 class Directive(StrEnum):
-    """One thing that an endpoint says of itself."""
+    """The kinds of directives: departure, request limit and Retry-After."""
 
     LEAVING = "leaving"
     LIMIT = "limit"
@@ -28,15 +29,17 @@
 
 @attrs.frozen(kw_only=True)
 class EndpointDirectives:
-    """What one answer says of its endpoint.
+    """The directives in one answer.
 
     Attributes:
-        is_leaving: Whether it says that it leaves; where it doesn't, it may leave all
-            the same.
-        limit: The requests a second that it takes from all hosts; None for no limit.
-        rest: For how long it wants no request of this host; None for no rest.
-        invalid_by_directive: What can't be read, as it was written; it changes nothing.
-        unread: The headers that may say more of it, and that nothing here knows.
+        is_leaving: Whether the endpoint states that it is leaving. It may be leaving
+            even if the answer does not state so.
+        limit: The requests per second that it accepts from all hosts; None for no
+            limit.
+        rest: The back-off that it requests from this host; None for none.
+        invalid_by_directive: The text of each directive that can't be parsed; such a
+            directive is logged and otherwise ignored.
+        unread: The platform's headers that this version does not know.
     """
 
     is_leaving: bool = False
@@ -47,45 +50,58 @@
 
 
 class DirectiveRecorder(Protocol):
-    """Where what answers say of their endpoints is noted."""
+    """Receives the directives that endpoints send."""
 
     def start_of(self, endpoint_id: str) -> EndpointStart:
-        """Return which start of an endpoint is known."""
+        """Return the known start of an endpoint."""
 
     def may_query(self, start: EndpointStart) -> bool:
-        """Return whether an endpoint wants to be asked anything by this host."""
+        """Return whether this host may query an endpoint: no back-off is active."""
 
     def record_directives(
-        self, start: EndpointStart, words: EndpointDirectives, *, sent_at: timedelta
+        self,
+        start: EndpointStart,
+        directives: EndpointDirectives,
+        *,
+        sent_at: timedelta,
     ) -> None:
-        """Take in what an answer says.
+        """Record the directives in an answer.
 
         Args:
-            start: The start of the endpoint that was known when it was asked.
-            words: What it says.
-            sent_at: When its request was sent, on the monotonic clock: answers may
-                come in another order than they were made in.
+            start: The start of the endpoint that was known when the request was sent.
+            directives: The directives in the answer.
+            sent_at: When the request was sent, on the monotonic clock; answers may
+                arrive out of order.
         """
 
 
 class InvalidDirectiveLog:
-    """Logs what endpoints say that can't be read, each once."""
+    """Logs invalid directives and unknown headers, without repeating itself."""
 
     def __init__(self) -> None:
         self._invalid_by_endpoint: dict[str, Mapping[Directive, str]] = {}
-        self._unread: set[str] = set()
-
-    def note(self, endpoint_id: str, words: EndpointDirectives) -> None:
-        """Log what can't be read, unless the endpoint's last answer said the same."""
-        for name in words.unread:
-            if name not in self._unread and len(self._unread) < MAX_KEPT:
-                self._unread.add(name)
-                log_event("words", "Nobody reads it.", peer=endpoint_id, header=name)
-        invalid_by_directive = words.invalid_by_directive
+        self._logged_headers: set[str] = set()
+
+    def note(self, endpoint_id: str, directives: EndpointDirectives) -> None:
+        """Log what can't be read in an answer.
+
+        Invalid directives are logged unless the endpoint's last answer had the same
+        ones, and unknown headers once for all endpoints.
+        """
+        for name in directives.unread:
+            if (
+                name not in self._logged_headers
+                and len(self._logged_headers) < MAX_LOGGED
+            ):
+                self._logged_headers.add(name)
+                log_event("words", "Unknown header.", peer=endpoint_id, header=name)
+        invalid_by_directive = directives.invalid_by_directive
         if self._invalid_by_endpoint.get(endpoint_id, {}) == invalid_by_directive:
             return
-        if len(self._invalid_by_endpoint) >= MAX_KEPT:
+        if len(self._invalid_by_endpoint) >= MAX_LOGGED:
             self._invalid_by_endpoint.clear()
         self._invalid_by_endpoint[endpoint_id] = invalid_by_directive
         for word, told in invalid_by_directive.items():
-            log_event("words", "Can't be read.", peer=endpoint_id, word=word, told=told)
+            log_event(
+                "words", "Invalid directive.", peer=endpoint_id, word=word, told=told
+            )
--- a/passtally/gate.py
+++ b/passtally/gate.py
@@ -1,4 +1,4 @@
-"""Holds requests back until admission lets them in."""
+"""Delays requests until admission control admits them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,16 +10,18 @@
     AdmissionLimits,
     AdmissionQueue,
     AdmissionRequest,
+    QueuedRequest,
     Verdict,
-    Waiting,
 )
 from passtally.clock import Clock
 from passtally.decision import log_decision
 from passtally.fleet import Fleet
 from passtally.outcome import Code, RefusedError, refuse
 
-TICK = timedelta(milliseconds=50)
-ADMITTED_LATE = AdmissionDecision(verdict=Verdict.ADMIT, reason="room after waiting")
+POLL_INTERVAL = timedelta(milliseconds=50)
+ADMITTED_AFTER_WAITING = AdmissionDecision(
+    verdict=Verdict.ADMIT, reason="capacity is free after waiting"
+)
 
 
 class Gate:
@@ -28,7 +30,7 @@
     Args:
         fleet: The endpoints and their load.
         clock: The clock.
-        limits: Where admission begins to choose.
+        limits: The load thresholds and queue limits.
     """
 
     def __init__(
@@ -38,10 +40,10 @@
         self._clock = clock
         self._limits = limits or AdmissionLimits()
         self._queues_by_service: dict[str, AdmissionQueue] = {}
-        self._futures: dict[Waiting, asyncio.Future[None]] = {}
-        #: Set while requests wait. A host that holds none back has nothing to look at:
-        #: among hundreds of hosts nearly all are idle nearly always, and each look
-        #: is a wake-up, 20 a second.
+        self._futures: dict[QueuedRequest, asyncio.Future[None]] = {}
+        #: Set while requests wait; the queues are polled only then. Polling wakes the
+        #: process 20 times a second, and of hundreds of hosts nearly all have nothing
+        #: queued nearly all the time.
         self._has_waiting = asyncio.Event()
 
     @asynccontextmanager
@@ -51,44 +53,45 @@
         """Wait for admission, and count the request while it runs.
 
         Raises:
-            RefusedError: It can't be admitted in time; it did not run.
+            RefusedError: The request can't be admitted in time; it did not run.
         """
         queue = self._queue(service_id)
         now = self._clock.monotonic()
-        decision, waiting = queue.ask(request, load=self._load(service_id), now=now)
+        decision, waiting = queue.submit(request, load=self._load(service_id), now=now)
         self._log(service_id, request, decision, len(queue))
         if decision.verdict is Verdict.REFUSE:
             raise _overloaded(service_id, decision.reason, decision.retry_after)
         if waiting is not None:
             await self._wait(queue, waiting)
-            self._log(service_id, request, ADMITTED_LATE, len(queue))
+            self._log(service_id, request, ADMITTED_AFTER_WAITING, len(queue))
         try:
             yield
         finally:
-            queue.leave(request)
+            queue.release(request)
             self._admit_next(service_id)
 
     async def run(self) -> None:
-        """Let waiting requests in, or refuse them, for ever."""
+        """Admit waiting requests, or refuse expired ones, until cancelled."""
         while True:
             await self._has_waiting.wait()
-            await self._clock.sleep(TICK)
+            await self._clock.sleep(POLL_INTERVAL)
             for service_id in list(self._queues_by_service):
-                self._tick(service_id)
+                self._poll(service_id)
             if not self._futures:
                 self._has_waiting.clear()
 
-    def _tick(self, service_id: str) -> None:
+    def _poll(self, service_id: str) -> None:
         queue = self._queues_by_service[service_id]
-        for waiting in queue.expired(self._clock.monotonic()):
+        for waiting in queue.pop_expired(self._clock.monotonic()):
             error = _overloaded(service_id, "it waited too long", timedelta(seconds=1))
-            self._settle(waiting, error)
+            self._resolve(waiting, error)
         self._admit_next(service_id)
 
     def _admit_next(self, service_id: str) -> None:
-        """Let in as many as there is room for; all where there are no places at all.
+        """Admit as many requests as fit, or all if the service has no capacity at all.
 
-        Then nothing is to be waited for, and routing tells each when to come back.
+        Waiting would not help in that case: routing refuses each request and sets its
+        Retry-After.
         """
         queue = self._queues_by_service[service_id]
         if not len(queue):
@@ -100,12 +103,12 @@
             waiting = queue.next(load=load, now=self._clock.monotonic())
             if waiting is None:
                 return
-            if self._settle(waiting, None):
+            if self._resolve(waiting, None):
                 taken += 1
             else:
-                queue.leave(waiting.request)
+                queue.release(waiting.request)
 
-    def _settle(self, waiting: Waiting, error: RefusedError | None) -> bool:
+    def _resolve(self, waiting: QueuedRequest, error: RefusedError | None) -> bool:
         future = self._futures.get(waiting)
         if future is None or future.done():
             return False
@@ -115,7 +118,7 @@
             future.set_exception(error)
         return True
 
-    async def _wait(self, queue: AdmissionQueue, waiting: Waiting) -> None:
+    async def _wait(self, queue: AdmissionQueue, waiting: QueuedRequest) -> None:
         future = asyncio.get_running_loop().create_future()
         self._futures[waiting] = future
         self._has_waiting.set()
@@ -123,7 +126,7 @@
             await future
         except asyncio.CancelledError:
             if future.done() and not future.cancelled():
-                queue.leave(waiting.request)
+                queue.release(waiting.request)
             queue.remove(waiting)
             raise
         finally:
--- a/passtally/isolation.py
+++ b/passtally/isolation.py
@@ -1,11 +1,12 @@
-"""Tells when a host is cut off, or can't keep up, and others serve its callers better.
+"""Detects that this host is cut off or overloaded, so that the balancer avoids it.
 
-Callers still reach a host, or a whole failure domain, that is cut off from the others.
-What it can serve it serves. But where it reaches neither the platform nor any host of
-another failure domain, or has no endpoint of a service left, hosts that are not cut off
-serve its callers better: they have all other endpoints, each run has a replica that
-they reach, and they learn of changes. So it asks the balancer for no new callers. The
-same holds for a host that gets too little processor (:mod:`passtally.overload`).
+Callers can still reach a host, or a whole failure domain, that is cut off from the
+other domains, and it serves what it can. It is isolated if it reaches no host of
+another failure domain, and in addition either receives no changes from the platform or
+has no reachable endpoint left for some service. Hosts that are not cut off serve its
+callers better: they reach all other endpoints and a replica of each run, and they
+receive changes. An isolated host therefore asks the balancer for no new callers. A host
+that gets too little processor time (:mod:`passtally.overload`) does the same.
 """
 
 from collections.abc import Callable, Collection
@@ -18,27 +19,27 @@
 from passtally.peers import Peers
 from passtally.roster import Roster
 
-#: How often it is looked at. The balancer asks once a second, and lets go of a host
-#: after two answers; a service that is back must be seen well before that. Endpoints
-#: are connected to only while the host is cut off.
+#: Interval between checks. The balancer polls a host once a second and removes it after
+#: two negative answers; a service that recovers must be noticed well before that. A
+#: check connects to endpoints only while the host is cut off.
 CHECK_INTERVAL = timedelta(milliseconds=250)
-#: How the log names what is missing besides services.
+#: Log values for missing resources other than services.
 PLATFORM = "the platform"
 PROCESSOR = "processor time"
 
 
 class Isolation:
-    """Whether this host is cut off from what its callers need.
+    """Tracks whether the balancer should send this host no new callers.
 
     Args:
         fleet: The endpoints.
         peers: The links to other hosts.
-        roster: Who is there.
+        roster: The known hosts.
         clock: The clock.
         services: Returns the services that callers may ask for.
-        has_platform: Returns whether changes arrive from the platform, by whatever way.
-        overload: Tells whether callers wait too long before this host takes them.
-        changed: Called with each new answer.
+        has_platform: Returns whether changes from the platform arrive on any path.
+        overload: Detects that callers wait too long until this host accepts them.
+        changed: Called with the new state whenever it changes.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         self.is_isolated = False
 
     async def run(self) -> None:
-        """Look again and again, for ever."""
+        """Check once per interval, until cancelled."""
         while True:
             due_at = self._clock.monotonic() + CHECK_INTERVAL
             await self._clock.sleep(CHECK_INTERVAL)
@@ -73,7 +74,7 @@
             await self.check()
 
     async def check(self) -> None:
-        """Look once."""
+        """Update the state, and log and report a change."""
         missing = await self._find_missing()
         if self._overload.is_overloaded and self._roster.others():
             missing.append(PROCESSOR)
@@ -81,16 +82,17 @@
         if is_isolated == self.is_isolated:
             return
         self.is_isolated = is_isolated
-        sentence = "Cut off." if is_isolated else "Not cut off any more."
+        sentence = "Host is isolated." if is_isolated else "Host is no longer isolated."
         log_event("isolation", sentence, missing=sorted(missing))
         self._changed(is_isolated)
 
     async def _find_missing(self) -> list[str]:
-        """Return what this host lacks, if it is cut off from the other domains.
+        """Return what this host can't reach while it is cut off from other domains.
 
-        That is the platform, or else the services without an endpoint in reach.
+        This is the platform, or else the services without a reachable endpoint; if the
+        host is not cut off, it is nothing.
         """
-        if not await self._is_cut():
+        if not await self._is_partitioned():
             return []
         if not self._has_platform():
             return [PLATFORM]
@@ -101,11 +103,12 @@
             if not await self._fleet.has_reachable(name, domain)
         ]
 
-    async def _is_cut(self) -> bool:
-        """Return whether no host of another failure domain is in reach."""
+    async def _is_partitioned(self) -> bool:
+        """Return whether no host of another failure domain is reachable."""
         far = self._roster.far_ids()
         if not far:
-            # A cut that lasts is forgotten by gossip, not healed by it.
+            # During a long cut, gossip removes the hosts of other domains from the
+            # roster, so an empty list does not show that the cut has healed.
             return self.is_isolated
         for host_id in far:
             if await self._peers.is_reachable(host_id):
--- a/passtally/limit_sharers.py
+++ b/passtally/limit_sharers.py
@@ -1,4 +1,4 @@
-"""Which hosts share the limit that an endpoint names."""
+"""Choice of the hosts that share an endpoint's request limit."""
 
 from passtally.messages import MemberRow
 from passtally.ranking import rank_of
@@ -7,13 +7,13 @@
 
 
 class LimitSharers:
-    """The order in which hosts have a part of each endpoint's limit.
+    """The order in which hosts get a share of each endpoint's request limit.
 
-    Those of the endpoint's own failure domain come first: they reach it also where
-    domains are cut off from each other.
+    Hosts in the endpoint's failure domain come first: they can reach it even if the
+    failure domains are cut off from each other.
 
     Args:
-        roster: Who is there.
+        roster: The known hosts.
         catalog: The endpoints.
     """
 
@@ -24,11 +24,11 @@
         self._ranked_at = -1
 
     def count(self) -> int:
-        """Return how many hosts are in reach, this one included."""
+        """Return the number of reachable hosts, this one included."""
         return len(self._roster.others()) + 1
 
     def rank(self, endpoint_id: str) -> int:
-        """Return how many hosts come before this one in an endpoint's order."""
+        """Return the number of hosts before this one in an endpoint's order."""
         if self._ranked_at != self._roster.revision:
             self._ranks_by_endpoint.clear()
             self._ranked_at = self._roster.revision
--- a/passtally/pause_aware_timeout.py
+++ b/passtally/pause_aware_timeout.py
@@ -1,9 +1,10 @@
-"""Time limits that don't count what this host itself missed.
+"""Timeouts that allow for pauses of this host itself.
 
-A host that does not run, since it was paused or got no processor, finds its timers due
-when it runs again, before it has looked at what came meanwhile. By a plain time limit
-it then gives up what lies there unread. Where its machine was suspended, the loop's
-timers go on for the rest of their time, though their callers have waited all along.
+When a host was paused, or got no processor time, its timers are due as soon as it runs
+again, before it has read the data that arrived meanwhile. With a plain timeout it would
+give up on an answer that is already in its receive buffer. After a suspension of the
+machine the opposite happens: the event loop's timers still run for the rest of their
+time, although callers have waited through the suspension.
 """
 
 import asyncio
@@ -12,24 +13,24 @@
 
 from passtally.clock import Clock
 
-#: A timer that is later than this says that this host did not run; else it is by 1 ms.
-OWN_LAG = timedelta(milliseconds=10)
-#: How long such a host then looks at what has come, and how often where it is late
-#: again: one that hardly runs must not wait on for ever.
+#: Timer delay above which this host counts as paused; timers are usually 1 ms late.
+MAX_TIMER_LAG = timedelta(milliseconds=10)
+#: Extension of a timeout after a late timer, to read what has arrived, and the maximum
+#: number of extensions: a host that hardly gets to run must still time out.
 LAST_LOOK = timedelta(milliseconds=20)
-MAX_LOOKS = 5
-#: How often the clock is looked at, which counts a suspension: callers notice a pause
-#: of 700 ms.
+MAX_EXTENSIONS = 5
+#: Interval between checks of the clock, which, unlike the event loop's timers, includes
+#: suspensions. Callers notice a pause of 700 ms.
 CLOCK_INTERVAL = timedelta(milliseconds=250)
 
 
 class PauseAwareTimeout:
-    """An :func:`asyncio.timeout` that ends after a last look where its timer is late.
+    """An :func:`asyncio.timeout` that is extended for a moment if its timer is late.
 
-    Raises a TimeoutError at its end, as that does.
+    Raises a TimeoutError on expiry, as :func:`asyncio.timeout` does.
 
     Args:
-        limit: How long what is inside may take.
+        limit: The maximum duration of the block.
         clock: The clock.
     """
 
@@ -37,7 +38,7 @@
         self._limit = limit
         self._clock = clock
         self._scope = asyncio.timeout(None)
-        self._looks_left = MAX_LOOKS
+        self._extensions_left = MAX_EXTENSIONS
         self._due_at = timedelta(0)
         self._timer: asyncio.TimerHandle | None = None
 
@@ -55,46 +56,46 @@
         self._timer.cancel()
         return await self._scope.__aexit__(kind, error, traceback)
 
-    def extend(self, least: timedelta) -> None:
-        """Let it last for at least so long from now."""
-        if self._clock.monotonic() + least > self._due_at:
+    def extend(self, min_duration: timedelta) -> None:
+        """Extend the timeout to at least a duration from now."""
+        if self._clock.monotonic() + min_duration > self._due_at:
             self._timer.cancel()
-            self._arm(least)
+            self._arm(min_duration)
 
     def expire(self) -> None:
-        """End it now."""
+        """Expire the timeout now."""
         self._scope.reschedule(asyncio.get_running_loop().time())
 
     def _arm(self, limit: timedelta) -> None:
         self._due_at = self._clock.monotonic() + limit
         self._wait(limit)
 
-    def _wait(self, left: timedelta) -> None:
-        seconds = min(left, CLOCK_INTERVAL).total_seconds()
-        self._timer = asyncio.get_running_loop().call_later(seconds, self._look)
-
-    def _look(self) -> None:
-        """End it if it is due, after a last look where this host did not run."""
-        late = self._clock.monotonic() - self._due_at
-        if late < timedelta(0):
-            self._wait(-late)
-        elif late > OWN_LAG and self._looks_left:
-            self._looks_left -= 1
+    def _wait(self, remaining: timedelta) -> None:
+        seconds = min(remaining, CLOCK_INTERVAL).total_seconds()
+        self._timer = asyncio.get_running_loop().call_later(seconds, self._check)
+
+    def _check(self) -> None:
+        """Expire the timeout if it is due, or extend it if this host was paused."""
+        lateness = self._clock.monotonic() - self._due_at
+        if lateness < timedelta(0):
+            self._wait(-lateness)
+        elif lateness > MAX_TIMER_LAG and self._extensions_left:
+            self._extensions_left -= 1
             self._arm(LAST_LOOK)
         else:
             self.expire()
 
 
 async def sleep_pause_aware(duration: timedelta, *, clock: Clock) -> None:
-    """Sleep, and where this host then wakes late, until it has looked at what came.
+    """Sleep, and if this host wakes late, a little longer to read what has arrived.
 
     Args:
-        duration: How long.
+        duration: The time to sleep.
         clock: The clock.
     """
-    for _ in range(MAX_LOOKS):
+    for _ in range(MAX_EXTENSIONS):
         due_at = clock.monotonic() + duration
         await clock.sleep(duration)
-        if clock.monotonic() - due_at <= OWN_LAG:
+        if clock.monotonic() - due_at <= MAX_TIMER_LAG:
             return
         duration = LAST_LOOK
--- a/passtally/request_limits.py
+++ b/passtally/request_limits.py
@@ -1,8 +1,8 @@
-"""Endpoints that name how many requests they take, and this host's part of that. Pure.
+"""Request limits that endpoints set, and this host's share of each. Pure.
 
-An endpoint in need names in its answers the requests a second that it takes from all
-hosts together. A few hosts share that, each with a part that it uses alone, so that
-none has to ask for leave; the others send nothing there.
+A busy endpoint states in its answers how many requests per second it accepts from all
+hosts together. A few hosts split this limit into fixed shares, so that no host has to
+coordinate before it sends; the other hosts send the endpoint nothing.
 """
 
 import math
@@ -15,48 +15,48 @@
 from passtally.messages import LimitRow
 from passtally.objects import EndpointStart
 
-#: The least hosts that share one limit, each with a request that it may send at once:
-#: the users allow half as much again and five requests more in some four seconds, also
-#: while hosts don't agree on who shares it.
+#: Minimum number of hosts that share one limit. Each of them may send one request at
+#: once: an endpoint may get up to 1.5 times its limit plus five requests within about
+#: four seconds, also while hosts disagree on which of them share the limit.
 MIN_SHARERS = 4
-#: So many hosts share each request a second of a larger limit.
+#: Number of hosts that share a larger limit, for each request per second of it.
 SHARERS_PER_REQUEST = 1.5
-#: How long a host saves up what it may send beyond one request.
-SAVED_FOR = timedelta(seconds=0.25)
-#: An endpoint that takes none is asked this often, in requests a second: only its
-#: answers tell when it takes some again.
+#: Time for which a host accumulates its share of a limit, if that exceeds one request.
+BURST_TIME = timedelta(seconds=0.25)
+#: Minimum rate, in requests per second, at which an endpoint with a lower limit is
+#: sent requests: only its answers show that it accepts more again.
 MIN_RATE = 0.1
-#: For how long a limit holds that no answer has named again.
+#: Time after which a limit expires if no answer has repeated it.
 RETENTION_TIME = timedelta(seconds=30)
-#: The most endpoints whose limits other hosts are told of.
+#: Maximum number of endpoints whose limits are sent to other hosts.
 MAX_SENT = 64
 
 
 @attrs.define(kw_only=True)
 class _Limit:
-    """What is known of one endpoint's limit.
+    """The limit of one endpoint, and this host's unused share of it.
 
     Attributes:
-        start: The endpoint.
-        rate: The requests a second that it takes; None where it names no limit.
-        observed_at: When an answer last told so, on this host's monotonic clock.
-        saved: The requests that this host may send there now.
-        saved_at: When that was counted.
+        start: The start of the endpoint.
+        rate: The requests per second that it accepts; None if it sets no limit.
+        observed_at: When an answer last stated this, on this host's monotonic clock.
+        credit: The number of requests that this host may send now.
+        refilled_at: When the credit was last refilled, on the monotonic clock.
     """
 
     start: EndpointStart
     rate: float | None
     observed_at: timedelta
-    saved: float = 0.0
-    saved_at: timedelta
+    credit: float = 0.0
+    refilled_at: timedelta
 
 
 class RequestLimits:
-    """The limits that endpoints name.
+    """The request limits of all endpoints, enforced as a token bucket for each.
 
     Args:
-        count_hosts: Returns how many hosts there are, this one included.
-        rank: Returns how many hosts come before this one in an endpoint's order.
+        count_hosts: Returns the number of hosts, this one included.
+        rank: Returns the number of hosts before this one in an endpoint's order.
     """
 
     def __init__(
@@ -77,13 +77,14 @@
         sent_at: timedelta,
         now: timedelta,
     ) -> bool:
-        """Take in what an answer says, and return whether that is new.
+        """Record the limit in an answer, and return whether it changed.
 
         Args:
-            start: The endpoint.
-            rate: The requests a second that it takes; None where it names no limit.
-            sent_at: When its request was sent: an answer that was made before the
-                limit was named may come after the one that names it.
+            start: The start of the endpoint.
+            rate: The requests per second that it accepts; None if it sets no limit.
+            sent_at: When the request was sent, on the monotonic clock. An answer
+                without a limit does not lift one that was observed after that time:
+                the endpoint may have given the answer before it set the limit.
             now: The monotonic time.
         """
         known = self._limits_by_start.get(start)
@@ -98,34 +99,35 @@
         limit = self._find(start, now)
         if limit is None:
             return True
-        self._save(limit, now)
-        return limit.saved >= 1
+        self._refill(limit, now)
+        return limit.credit >= 1
 
     def take(self, start: EndpointStart, *, now: timedelta) -> bool:
-        """Count a request that is sent now, if there is room for it."""
+        """Take the credit for one request; return whether there was enough."""
         if not self.has_capacity(start, now=now):
             return False
         limit = self._find(start, now)
         if limit is not None:
-            limit.saved -= 1
+            limit.credit -= 1
         return True
 
     def time_until_capacity(self, start: EndpointStart, *, now: timedelta) -> timedelta:
-        """Return how long it takes until this host may send an endpoint a request.
+        """Return the time until this host may send an endpoint a request.
 
-        Where it has no part of the limit, that is when another one may send the next.
+        If this host has no share of the limit, return the mean time between the
+        requests that the other hosts may send.
         """
         limit = self._find(start, now)
         if limit is None or self.has_capacity(start, now=now):
             return timedelta(0)
-        rate = self._own_rate(limit)
+        rate = self._local_rate(limit)
         if not rate:
             return timedelta(seconds=1 / max(limit.rate, MIN_RATE))
-        return timedelta(seconds=(1 - limit.saved) / rate)
+        return timedelta(seconds=(1 - limit.credit) / rate)
 
     def rows(self, *, now: timedelta) -> list[LimitRow]:
-        """Return what other hosts are to know, the newest first."""
-        self._forget_old(now)
+        """Return the limits to send to other hosts, the newest first."""
+        self._remove_expired(now)
         limits = sorted(
             self._limits_by_start.values(), key=lambda limit: -limit.observed_at
         )
@@ -140,8 +142,8 @@
         ]
 
     def merge(self, rows: Iterable[LimitRow], *, now: timedelta) -> bool:
-        """Take in what another host tells, and return whether that changes a limit."""
-        is_new = False
+        """Apply the limits that another host sent, and return whether any changed."""
+        is_changed = False
         for row in rows:
             start = EndpointStart(
                 endpoint_id=row.endpoint_id, incarnation=row.incarnation
@@ -150,8 +152,8 @@
             known = self._limits_by_start.get(start)
             if known is not None and known.observed_at >= observed_at:
                 continue
-            is_new |= self._put(start, row.rate, observed_at=observed_at, now=now)
-        return is_new
+            is_changed |= self._put(start, row.rate, observed_at=observed_at, now=now)
+        return is_changed
 
     def _put(
         self,
@@ -164,17 +166,23 @@
         limit = self._limits_by_start.get(start)
         if limit is None:
             limit = _Limit(
-                start=start, rate=None, observed_at=observed_at, saved_at=now
+                start=start, rate=None, observed_at=observed_at, refilled_at=now
             )
             self._limits_by_start[start] = limit
         was = limit.rate
         if limit.rate is None:
-            limit.saved, limit.saved_at = 0.0, now
+            limit.credit, limit.refilled_at = 0.0, now
         else:
-            self._save(limit, now)
+            self._refill(limit, now)
         limit.rate, limit.observed_at = rate, observed_at
         if was != rate:
-            log_event("limits", "Named.", peer=start.endpoint_id, rate=rate, was=was)
+            log_event(
+                "limits",
+                "Request limit changed.",
+                peer=start.endpoint_id,
+                rate=rate,
+                was=was,
+            )
         return was != rate
 
     def _find(self, start: EndpointStart, now: timedelta) -> _Limit | None:
@@ -187,22 +195,22 @@
             return None
         return limit
 
-    def _save(self, limit: _Limit, now: timedelta) -> None:
-        """Add what this host may send since it was last counted."""
-        passed = max(now - limit.saved_at, timedelta(0)).total_seconds()
-        rate = self._own_rate(limit)
-        most = max(1.0, rate * SAVED_FOR.total_seconds())
-        limit.saved = min(most, limit.saved + passed * rate)
-        limit.saved_at = now
+    def _refill(self, limit: _Limit, now: timedelta) -> None:
+        """Add the credit that this host has accumulated since the last refill."""
+        elapsed = max(now - limit.refilled_at, timedelta(0)).total_seconds()
+        rate = self._local_rate(limit)
+        most = max(1.0, rate * BURST_TIME.total_seconds())
+        limit.credit = min(most, limit.credit + elapsed * rate)
+        limit.refilled_at = now
 
-    def _own_rate(self, limit: _Limit) -> float:
-        """Return the requests a second that this host may send; 0 for none."""
+    def _local_rate(self, limit: _Limit) -> float:
+        """Return this host's share, in requests per second; 0 if it has none."""
         rate = max(limit.rate, MIN_RATE)
         sharers = max(MIN_SHARERS, math.floor(SHARERS_PER_REQUEST * rate))
         sharers = min(sharers, self._count_hosts())
         return rate / sharers if self._rank(limit.start.endpoint_id) < sharers else 0.0
 
-    def _forget_old(self, now: timedelta) -> None:
+    def _remove_expired(self, now: timedelta) -> None:
         for start, limit in list(self._limits_by_start.items()):
             if now - limit.observed_at > RETENTION_TIME:
                 del self._limits_by_start[start]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission, routing of resumes, and the budget of repeats."""
+"""Admission control, routing of resumes, and retry budgets."""
 
 import asyncio
 from datetime import timedelta
@@ -46,26 +46,26 @@
 
 
 class TestAdmissionQueue:
-    def test_room_admits_at_once(self):
-        decision, waiting = make_queue().ask(ask_for(), load=0.5, now=NOW)
+    def test_free_capacity_admits_at_once(self):
+        decision, waiting = make_queue().submit(ask_for(), load=0.5, now=NOW)
         assert (decision.verdict, waiting) == (Verdict.ADMIT, None)
 
-    def test_jobs_wait_while_lookups_still_enter(self):
+    def test_jobs_wait_while_lookups_are_still_admitted(self):
         queue = make_queue()
-        job, _ = queue.ask(ask_for(name="job"), load=0.75, now=NOW)
-        lookup, _ = queue.ask(ask_for(name="lookup"), load=0.75, now=NOW)
+        job, _ = queue.submit(ask_for(name="job"), load=0.75, now=NOW)
+        lookup, _ = queue.submit(ask_for(name="lookup"), load=0.75, now=NOW)
         assert (job.verdict, lookup.verdict) == (Verdict.QUEUE, Verdict.ADMIT)
 
-    def test_a_large_workspace_leaves_the_last_places_to_small_ones(self):
+    def test_a_workspace_above_its_share_leaves_the_last_capacity_to_others(self):
         queue = make_queue()
         for _ in range(20):
-            queue.ask(ask_for("large"), load=0.5, now=NOW)
-        queue.ask(ask_for("small"), load=0.5, now=NOW)
-        large, _ = queue.ask(ask_for("large"), load=0.9, now=NOW)
-        small, _ = queue.ask(ask_for("small"), load=0.9, now=NOW)
+            queue.submit(ask_for("large"), load=0.5, now=NOW)
+        queue.submit(ask_for("small"), load=0.5, now=NOW)
+        large, _ = queue.submit(ask_for("large"), load=0.9, now=NOW)
+        small, _ = queue.submit(ask_for("small"), load=0.9, now=NOW)
         assert (large.verdict, small.verdict) == (Verdict.QUEUE, Verdict.ADMIT)
 
-    def test_classes_go_in_order_and_workspaces_take_turns(self):
+    def test_classes_are_admitted_in_order_and_workspaces_take_turns(self):
         queue = make_queue()
         for workspace, name in (
             ("a", "job"),
@@ -74,7 +74,7 @@
             ("b", "interactive"),
             ("b", "lookup"),
         ):
-            queue.ask(ask_for(workspace, name), load=1, now=NOW)
+            queue.submit(ask_for(workspace, name), load=1, now=NOW)
         order = [queue.next(load=0, now=NOW).request for _ in range(5)]
         assert [(r.workspace, r.request_class.name) for r in order] == [
             ("b", "LOOKUP"),
@@ -84,21 +84,21 @@
             ("a", "JOB"),
         ]
 
-    def test_a_full_queue_refuses_with_a_time_to_come_back(self):
+    def test_a_full_queue_refuses_with_a_retry_after(self):
         queue = make_queue(max_queue=1)
-        queue.ask(ask_for(), load=1, now=NOW)
-        decision, _ = queue.ask(ask_for(), load=1, now=NOW)
+        queue.submit(ask_for(), load=1, now=NOW)
+        decision, _ = queue.submit(ask_for(), load=1, now=NOW)
         assert decision.verdict is Verdict.REFUSE
         assert decision.retry_after >= timedelta(seconds=1)
 
-    def test_what_can_not_begin_in_time_is_refused_before_it_waits(self):
+    def test_a_request_that_can_not_start_in_time_is_refused_without_waiting(self):
         queue = make_queue()
         for _ in range(20):
-            queue.ask(ask_for(), load=1, now=NOW)
+            queue.submit(ask_for(), load=1, now=NOW)
         for second in range(4):
             queue.next(load=0, now=timedelta(seconds=second))
         hurried = ask_for(timeout=timedelta(seconds=2))
-        decision, _ = queue.ask(hurried, load=1, now=timedelta(seconds=4))
+        decision, _ = queue.submit(hurried, load=1, now=timedelta(seconds=4))
         assert decision.verdict is Verdict.REFUSE
         assert "in time" in decision.reason
 
@@ -114,14 +114,14 @@
             max_size=60,
         )
     )
-    def test_nobody_is_lost_or_counted_twice(self, script):
+    def test_no_request_is_lost_or_counted_twice(self, script):
         queue = make_queue(max_queue=8)
         admitted, waiting = [], []
         now = NOW
         for workspace, name, action, load in script:
             now += timedelta(seconds=0.3)
             if action == "ask":
-                decision, place = queue.ask(
+                decision, place = queue.submit(
                     ask_for(workspace, name), load=load, now=now
                 )
                 if decision.verdict is Verdict.ADMIT:
@@ -134,9 +134,9 @@
                     waiting.remove(place)
                     admitted.append(place.request)
             elif action == "leave" and admitted:
-                queue.leave(admitted.pop())
+                queue.release(admitted.pop())
             elif action == "expire":
-                for place in queue.expired(now):
+                for place in queue.pop_expired(now):
                     waiting.remove(place)
             assert len(queue) == len(waiting)
         assert sum(queue._running_by_workspace.values()) == len(admitted)
@@ -153,15 +153,15 @@
         async def run():
             fleet = FakeFleet()
             gate = Gate(fleet=fleet, clock=VirtualClock())
-            ticking = asyncio.ensure_future(gate.run())
+            polling = asyncio.ensure_future(gate.run())
             try:
                 await work(gate, fleet)
             finally:
-                ticking.cancel()
+                polling.cancel()
 
         run_virtually(run())
 
-    def test_a_waiting_request_enters_once_there_is_room(self):
+    def test_a_waiting_request_is_admitted_once_capacity_is_free(self):
         async def work(gate, fleet):
             async def enter():
                 async with gate.enter("s", ask_for()):
@@ -175,8 +175,9 @@
 
         self.run_gate(work)
 
-    # Guards against waiting for endpoints that have all left or asked for rest.
-    def test_a_waiting_request_enters_once_there_are_no_places_at_all(self):
+    # Guards against requests that wait for a service whose endpoints have all left or
+    # are in back-off: routing can refuse these requests at once.
+    def test_a_waiting_request_is_admitted_once_there_is_no_capacity_at_all(self):
         async def work(gate, fleet):
             async def enter():
                 async with gate.enter("s", ask_for()):
@@ -190,7 +191,7 @@
 
         self.run_gate(work)
 
-    def test_one_that_waits_too_long_is_told_at_once_that_it_did_not_run(self):
+    def test_a_request_that_waits_too_long_is_refused_as_not_run(self):
         async def work(gate, fleet):
             with pytest.raises(RefusedError) as caught:
                 async with gate.enter("s", ask_for(name="lookup")):
@@ -204,7 +205,7 @@
 
         self.run_gate(work)
 
-    def test_a_caller_that_leaves_the_queue_leaves_no_trace(self):
+    def test_a_caller_that_disconnects_is_removed_from_the_queue(self):
         async def work(gate, fleet):
             async def enter():
                 async with gate.enter("s", ask_for()):
@@ -239,29 +240,29 @@
 
 
 class TestRouting:
-    def test_own_dispatches_since_the_report_count(self):
+    def test_local_dispatches_since_the_report_are_counted(self):
         stale = view("a", reported_streams=5, own_at_report=2, own_streams=6)
         assert stale.load == 0.9
 
-    def test_an_old_report_does_not_keep_an_endpoint_out_for_ever(self):
+    def test_an_old_report_of_a_full_endpoint_expires(self):
         full = view("a", reported_streams=10)
         assert full.load == 1
         later = attrs.evolve(full, report_age=timedelta(seconds=20))
         assert later.load == 0
 
-    def test_local_first_then_spill_over(self):
+    def test_the_local_failure_domain_is_preferred_until_it_is_busy(self):
         near, far = view("a"), view("b", failure_domain="t")
         assert choose([near, far]).endpoint_id == "a"
         busy = attrs.evolve(near, own_streams=9)
         assert choose([busy, far]).endpoint_id == "b"
 
-    def test_the_same_prefix_goes_to_the_same_place(self):
+    def test_the_same_prefix_is_routed_to_the_same_endpoint(self):
         views = [view(name) for name in "abcdef"]
         assert len({choose(views).endpoint_id for _ in range(5)}) == 1
         chosen = {choose(views, affinity=bytes([n])).endpoint_id for n in range(60)}
         assert len(chosen) == 6
 
-    def test_draining_excluded_and_full_ones_get_nothing(self):
+    def test_draining_excluded_and_full_endpoints_get_no_requests(self):
         views = [
             view("a", state=EndpointState.DRAINING),
             view("b", own_streams=10),
@@ -270,13 +271,13 @@
         decision = choose(views, exclude={"c"})
         assert (decision.endpoint_id, decision.reason) == (None, "all full")
 
-    def test_ejected_ones_are_tried_only_where_all_are(self):
+    def test_ejected_endpoints_are_used_only_if_all_are_ejected(self):
         later = timedelta(seconds=5)
         ejected = view("a", ejected_until=later)
         assert choose([ejected, view("b", own_streams=5)]).endpoint_id == "b"
         assert "ejected" in choose([ejected]).reason
 
-    def test_resumes_spread_over_the_budget(self):
+    def test_resumes_are_spread_until_each_budget_is_spent(self):
         tokens = dict.fromkeys("abcd", 0)
         for _ in range(16):
             views = [view(name, resume_tokens=n) for name, n in tokens.items()]
@@ -290,12 +291,12 @@
             "resume budget is spent",
         )
 
-    def test_one_long_resume_above_the_budget_still_goes(self):
+    def test_a_single_resume_longer_than_the_budget_is_routed(self):
         assert choose([view("a")], resume_tokens=RESUME_BUDGET * 2).endpoint_id == "a"
 
 
 class TestRetryBudgets:
-    def test_repeats_are_a_share_of_a_workspaces_requests(self):
+    def test_retries_are_a_share_of_a_workspaces_requests(self):
         budgets = RetryBudgets()
         allowed = sum(budgets.try_spend("w") for _ in range(100))
         assert allowed == MAX_SAVED
@@ -304,7 +305,7 @@
             budgets.earn("w")
         assert sum(budgets.try_spend("w") for _ in range(100)) == 1
 
-    def test_all_workspaces_together_are_bounded_too(self):
+    def test_retries_of_all_workspaces_together_are_bounded(self):
         budgets = RetryBudgets()
         spent = sum(budgets.try_spend(str(n)) for n in range(1000))
         assert spent == 10 * MAX_SAVED
--- a/tests/test_endpoint_backoff.py
+++ b/tests/test_endpoint_backoff.py
@@ -1,4 +1,4 @@
-"""Endpoints that turn a host away and ask it for rest."""
+"""Back-off from endpoints that reject requests with Retry-After."""
 
 from datetime import timedelta
 
@@ -10,18 +10,19 @@
 from tests.endpoint_load import Sent, send_load, start_linked
 from tests.platform_system import PlatformSystem, run
 
+#: The Retry-After time, in seconds.
 REST = 3.0
-#: Requests that reach an endpoint from a host so soon after it was turned away were
-#: under way already, in seconds.
-UNDER_WAY = 0.5
-#: The most that may come in the rest of the time.
+#: Time after a rejection in which requests that were already in flight may arrive, in
+#: seconds.
+IN_FLIGHT = 0.5
+#: Maximum number of requests from a host in the remaining back-off.
 MOST = 2
-#: By then a request that nobody can take is refused, in seconds.
+#: Maximum time until a request is refused if no endpoint can take it, in seconds.
 AT_ONCE = 0.5
 
 
-def most_while_resting(system: PlatformSystem, sent: list[Sent]) -> int:
-    """Return the most requests that an endpoint got from a host that it turned away."""
+def max_during_backoff(system: PlatformSystem, sent: list[Sent]) -> int:
+    """Return the maximum number of requests that a host sent during a back-off."""
     host_by_id = {request.id: request.host for request in sent}
     most = 0
     for runner in system.runners.values():
@@ -31,9 +32,9 @@
             (host_by_id[request.headers["X-Request-Id"]], at)
             for request, at in zip(runner.requests, runner.requested_at, strict=True)
         ]
-        for host, turned_away_at in arrivals:
+        for host, rejected_at in arrivals:
             count = sum(
-                other == host and UNDER_WAY < at - turned_away_at < REST
+                other == host and IN_FLIGHT < at - rejected_at < REST
                 for other, at in arrivals
             )
             most = max(most, count)
@@ -41,26 +42,29 @@
 
 
 @pytest.mark.parametrize("service", [ENGINE, LOOKUPS], ids=["stream", "call"])
-class TestRestingEndpoint:
-    # Guards against hosts that ask an endpoint again that has asked them for rest.
-    def test_it_is_left_alone_and_the_others_serve_all(self, service):
+class TestEndpointInBackoff:
+    # Guards against hosts that ignore the Retry-After of an endpoint.
+    def test_it_gets_hardly_any_requests_and_other_endpoints_serve_all(self, service):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, service, endpoints=3)
             system.runners["i-0"].faults.rest = f"{REST:g}"
             sent = await send_load(system, service, seconds=6)
             assert {request.answer.status for request in sent} == {200}
-            assert most_while_resting(system, sent) <= MOST
+            assert max_during_backoff(system, sent) <= MOST
 
         run(test)
 
-    # Guards against waiting, or asking in vain, where all endpoints want rest.
-    def test_where_all_rest_requests_are_refused_at_once(self, service):
+    # Guards against requests that wait, or are sent in vain, while all endpoints of the
+    # service are in back-off.
+    def test_requests_are_refused_at_once_if_all_endpoints_are_in_backoff(
+        self, service
+    ):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, service, endpoints=3)
             for runner in system.runners.values():
                 runner.faults.rest = f"{REST:g}"
             sent = await send_load(system, service, seconds=6)
-            assert most_while_resting(system, sent) <= MOST
+            assert max_during_backoff(system, sent) <= MOST
             assert {request.answer.status for request in sent} == {503}
             assert max(request.took for request in sent) < AT_ONCE
             waits = [float(item.answer.headers["retry-after"]) for item in sent]
@@ -75,54 +79,54 @@
 SECOND = timedelta(seconds=1)
 
 
-def resting(rest: timedelta = 3 * SECOND) -> EndpointBackoffs:
-    """Return what a host knows that an endpoint has just asked for rest."""
-    rests = EndpointBackoffs()
-    rests.record_answer(START, rest, sent_at=NOW, now=NOW)
-    return rests
+def backed_off(rest: timedelta = 3 * SECOND) -> EndpointBackoffs:
+    """Return the back-offs of a host just after an endpoint has requested one."""
+    backoffs = EndpointBackoffs()
+    backoffs.record_answer(START, rest, sent_at=NOW, now=NOW)
+    return backoffs
 
 
-class TestRests:
-    def test_nothing_is_sent_until_it_is_over(self):
-        rests = resting()
-        assert not rests.take(START, now=NOW)
-        assert not rests.is_over(START, now=NOW + 2.9 * SECOND)
-        assert rests.wait(START, now=NOW + SECOND) == 2 * SECOND
-        assert rests.take(START, now=NOW + 3 * SECOND)
+class TestEndpointBackoffs:
+    def test_no_request_is_sent_before_the_end(self):
+        backoffs = backed_off()
+        assert not backoffs.take(START, now=NOW)
+        assert not backoffs.is_over(START, now=NOW + 2.9 * SECOND)
+        assert backoffs.wait(START, now=NOW + SECOND) == 2 * SECOND
+        assert backoffs.take(START, now=NOW + 3 * SECOND)
 
-    # Guards against all that wait turning up together when a rest is over.
-    def test_then_one_request_goes_first(self):
-        rests = resting()
+    # Guards against all waiting requests arriving at once when a back-off ends.
+    def test_a_single_probe_is_sent_first(self):
+        backoffs = backed_off()
         end = NOW + 3 * SECOND
-        assert rests.take(START, now=end)
-        assert not rests.take(START, now=end)
-        rests.record_answer(START, None, sent_at=end, now=end)
-        assert all(rests.take(START, now=end) for _ in range(9))
+        assert backoffs.take(START, now=end)
+        assert not backoffs.take(START, now=end)
+        backoffs.record_answer(START, None, sent_at=end, now=end)
+        assert all(backoffs.take(START, now=end) for _ in range(9))
 
-    def test_another_follows_where_no_answer_comes(self):
-        rests = resting()
+    def test_another_probe_is_sent_if_the_first_gets_no_answer(self):
+        backoffs = backed_off()
         end = NOW + 3 * SECOND
-        assert rests.take(START, now=end)
-        assert rests.wait(START, now=end) == PROBE_WINDOW
-        assert rests.take(START, now=end + PROBE_WINDOW)
-
-    def test_an_answer_to_what_was_under_way_does_not_end_it(self):
-        rests = resting()
-        rests.record_answer(START, None, sent_at=NOW, now=NOW + SECOND)
-        assert not rests.may_send(START, now=NOW + SECOND)
-
-    def test_the_longest_counts(self):
-        rests = resting()
-        rests.record_answer(START, SECOND, sent_at=NOW, now=NOW + SECOND)
-        assert rests.wait(START, now=NOW + SECOND) == 2 * SECOND
-        rests.record_answer(START, 3 * SECOND, sent_at=NOW, now=NOW + SECOND)
-        assert rests.wait(START, now=NOW + SECOND) == 3 * SECOND
-
-    def test_zero_is_no_rest(self):
-        assert resting(timedelta(0)).take(START, now=NOW)
-
-    def test_it_is_of_one_start_and_goes_with_it(self):
-        rests = resting()
-        assert rests.take(EndpointStart(endpoint_id="e", incarnation=2), now=NOW)
-        rests.forget("e")
-        assert rests.take(START, now=NOW)
+        assert backoffs.take(START, now=end)
+        assert backoffs.wait(START, now=end) == PROBE_WINDOW
+        assert backoffs.take(START, now=end + PROBE_WINDOW)
+
+    def test_an_answer_to_a_request_in_flight_does_not_end_the_backoff(self):
+        backoffs = backed_off()
+        backoffs.record_answer(START, None, sent_at=NOW, now=NOW + SECOND)
+        assert not backoffs.may_send(START, now=NOW + SECOND)
+
+    def test_the_latest_end_applies(self):
+        backoffs = backed_off()
+        backoffs.record_answer(START, SECOND, sent_at=NOW, now=NOW + SECOND)
+        assert backoffs.wait(START, now=NOW + SECOND) == 2 * SECOND
+        backoffs.record_answer(START, 3 * SECOND, sent_at=NOW, now=NOW + SECOND)
+        assert backoffs.wait(START, now=NOW + SECOND) == 3 * SECOND
+
+    def test_zero_is_no_backoff(self):
+        assert backed_off(timedelta(0)).take(START, now=NOW)
+
+    def test_a_backoff_applies_to_one_start_and_is_removed_with_the_endpoint(self):
+        backoffs = backed_off()
+        assert backoffs.take(EndpointStart(endpoint_id="e", incarnation=2), now=NOW)
+        backoffs.forget("e")
+        assert backoffs.take(START, now=NOW)
--- a/tests/test_endpoint_directives.py
+++ b/tests/test_endpoint_directives.py
@@ -1,4 +1,4 @@
-"""What answers say of their endpoints: read in one place, on every path."""
+"""Directives in the headers of endpoints' answers, and how each is read."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 from passtally.clock import ManualClock
 from passtally.endpoint_directives import (
-    MAX_KEPT,
+    MAX_LOGGED,
     Directive,
     EndpointDirectives,
     InvalidDirectiveLog,
@@ -19,8 +19,8 @@
 from passtally.platform.answer_directives import read_directives
 from tests.fakes import make_catalog
 
-#: What the platform's pages name that endpoints say in the heads of their answers.
-SAID_ON_THE_PAGES = {
+#: Headers that endpoints send in their answers, from the platform's documentation.
+DOCUMENTED_HEADERS = {
     b"x-request-id",
     b"x-response-stamp",
     b"x-not-executed",
@@ -30,27 +30,27 @@
     b"retry-after",
     b"server-leaving",
 }
-#: What is only for callers, and handed to them as it is.
+#: Headers that are only for callers, and are passed on unchanged.
 PASSED_ON = {b"x-weight-versions"}
 START = EndpointStart(endpoint_id="e")
 
 
 def head_of(status: int = 200, **headers: str) -> ResponseHead:
-    """Return the head of an answer."""
+    """Return the head of an answer with some headers."""
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     fields = [(name.encode(), value.encode()) for name, value in named.items()]
     return ResponseHead(status=status, headers=fields)
 
 
-def odd_limit(told: str) -> EndpointDirectives:
-    """Return what an answer says that names what is no limit."""
-    return EndpointDirectives(invalid_by_directive={Directive.LIMIT: told})
+def invalid_limit(text: str) -> EndpointDirectives:
+    """Return the directives of an answer with an invalid limit."""
+    return EndpointDirectives(invalid_by_directive={Directive.LIMIT: text})
 
 
 class TestHeaders:
-    # Guards against a word of endpoints that the platform names and nobody reads.
-    @pytest.mark.parametrize("name", sorted(SAID_ON_THE_PAGES))
-    def test_each_that_endpoints_may_send_is_known_and_read(self, name):
+    # Guards against a header that the platform documents and that no code reads.
+    @pytest.mark.parametrize("name", sorted(DOCUMENTED_HEADERS))
+    def test_each_documented_header_is_known_and_read(self, name):
         assert name in names.SAID_BY_ENDPOINTS
         constant = next(key for key, value in vars(names).items() if value == name)
         sources = Path(names.__file__).parent.glob("*.py")
@@ -61,17 +61,17 @@
         ]
         assert readers or name in PASSED_ON
 
-    def test_one_that_nobody_knows_is_told(self):
+    def test_an_unknown_header_is_reported(self):
         head = head_of(Server_Mood="good", X_Request_Id="q", Date="today")
-        words = read_directives(head, endpoint_id="e", request_id=b"q")
-        assert words.unread == ("server-mood",)
+        directives = read_directives(head, endpoint_id="e", request_id=b"q")
+        assert directives.unread == ("server-mood",)
 
 
-class TestReadWords:
-    def test_each_word_is_read(self):
+class TestReadDirectives:
+    def test_each_directive_is_read(self):
         head = head_of(Server_Limit="1.5", Server_Leaving="1")
-        words = read_directives(head, endpoint_id="e")
-        assert words == EndpointDirectives(limit=1.5, is_leaving=True)
+        directives = read_directives(head, endpoint_id="e")
+        assert directives == EndpointDirectives(limit=1.5, is_leaving=True)
 
     @pytest.mark.parametrize(
         ("word", "header", "told"),
@@ -86,20 +86,26 @@
             (Directive.REST, "Retry_After", "Thu, 03 Dec 2026 12:00:00 GMT"),
         ],
     )
-    def test_what_can_t_be_read_is_told_apart(self, word, header, told):
-        words = read_directives(head_of(status=503, **{header: told}), endpoint_id="e")
-        assert words == EndpointDirectives(invalid_by_directive={word: told})
+    def test_an_invalid_directive_is_reported_and_ignored(self, word, header, told):
+        directives = read_directives(
+            head_of(status=503, **{header: told}), endpoint_id="e"
+        )
+        assert directives == EndpointDirectives(invalid_by_directive={word: told})
 
     @pytest.mark.parametrize(
         ("told", "seconds"), [("3", 3), ("0.4", 0.4), ("0", 0), ("1e12", 3600)]
     )
-    def test_rest_is_asked_for_in_seconds_and_parts_of_them(self, told, seconds):
-        words = read_directives(head_of(status=503, Retry_After=told), endpoint_id="e")
-        assert words == EndpointDirectives(rest=timedelta(seconds=seconds))
+    def test_a_backoff_is_read_in_seconds_and_bounded(self, told, seconds):
+        directives = read_directives(
+            head_of(status=503, Retry_After=told), endpoint_id="e"
+        )
+        assert directives == EndpointDirectives(rest=timedelta(seconds=seconds))
 
-    def test_only_who_turns_a_request_away_asks_for_rest(self):
-        words = read_directives(head_of(status=500, Retry_After="3"), endpoint_id="e")
-        assert words == EndpointDirectives()
+    def test_a_backoff_is_read_only_with_status_503(self):
+        directives = read_directives(
+            head_of(status=500, Retry_After="3"), endpoint_id="e"
+        )
+        assert directives == EndpointDirectives()
 
     @pytest.mark.parametrize(
         "head",
@@ -110,14 +116,14 @@
         ],
         ids=["address reused", "another's name", "surplus"],
     )
-    def test_the_word_of_another_says_nothing(self, head):
+    def test_the_answer_of_another_endpoint_or_request_is_ignored(self, head):
         assert read_directives(head, endpoint_id="e", request_id=b"q") is None
 
 
-class TestOddWords:
+class TestInvalidDirectiveLog:
     @pytest.fixture
     def lines(self, monkeypatch) -> list[str]:
-        """Return the endpoints of which a line is logged."""
+        """Return the endpoint of each logged line."""
         lines: list[str] = []
 
         def log(kind: str, sentence: str, *, peer: str, **fields: object) -> None:
@@ -126,20 +132,20 @@
         monkeypatch.setattr("passtally.endpoint_directives.log_event", log)
         return lines
 
-    def test_each_is_logged_once(self, lines: list[str]):
-        odd = InvalidDirectiveLog()
+    def test_repeated_invalid_directives_are_logged_once(self, lines: list[str]):
+        invalid_log = InvalidDirectiveLog()
         for _ in range(3):
-            odd.note("e", odd_limit("many"))
-        odd.note("e", odd_limit("more"))
+            invalid_log.note("e", invalid_limit("many"))
+        invalid_log.note("e", invalid_limit("more"))
         assert lines == ["e", "e"]
 
-    def test_few_are_kept(self, lines: list[str]):
-        odd = InvalidDirectiveLog()
-        for number in range(3 * MAX_KEPT):
-            odd.note(f"e{number}", odd_limit("many"))
-        assert len(odd._invalid_by_endpoint) <= MAX_KEPT
+    def test_the_number_of_remembered_endpoints_is_bounded(self, lines: list[str]):
+        invalid_log = InvalidDirectiveLog()
+        for number in range(3 * MAX_LOGGED):
+            invalid_log.note(f"e{number}", invalid_limit("many"))
+        assert len(invalid_log._invalid_by_endpoint) <= MAX_LOGGED
 
-    def test_they_change_nothing(self, lines: list[str]):
+    def test_an_invalid_limit_leaves_the_known_limit_unchanged(self, lines: list[str]):
         clock = ManualClock()
         fleet = Fleet(
             catalog=make_catalog([]), clock=clock, connect=lambda endpoint: None
@@ -148,5 +154,5 @@
             START, EndpointDirectives(limit=2.0), sent_at=clock.monotonic()
         )
         later = clock.monotonic() + timedelta(seconds=1)
-        fleet.record_directives(START, odd_limit("many"), sent_at=later)
+        fleet.record_directives(START, invalid_limit("many"), sent_at=later)
         assert not fleet.limits.has_capacity(START, now=clock.monotonic())
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Endpoints that register themselves: lapsed entries, reused addresses."""
+"""The endpoint registry: lapsed entries, reused addresses, restored copies."""
 
 from datetime import timedelta
 
@@ -10,8 +10,8 @@
 from passtally.objects import Endpoint, EndpointState, Service, ServiceKind
 
 
-class Book:
-    """A book, its catalog and its clock."""
+class Harness:
+    """A registry with its catalog and clock."""
 
     def __init__(self) -> None:
         self.catalog = Catalog()
@@ -39,90 +39,96 @@
 
 
 @pytest.fixture
-def registry() -> Book:
-    registry = Book()
-    registry.put("a", port=1)
-    registry.put("b", port=2)
-    return registry
+def harness() -> Harness:
+    harness = Harness()
+    harness.put("a", port=1)
+    harness.put("b", port=2)
+    return harness
 
 
 class TestRemoval:
-    def test_in_calm_times_a_removed_entry_is_gone_at_once(self, registry):
-        registry.registry.remove(["a"])
-        assert registry.ids == {"b"}
-        assert registry.gone == ["a"]
-
-    def test_an_entry_that_lapsed_in_an_outage_is_kept(self, registry):
-        registry.registry.record_reachability(False)
-        registry.registry.remove(["a"])
-        registry.registry.record_reachability(True)
-        registry.registry.settle()
-        assert registry.ids == {"a", "b"}
-
-    def test_one_that_is_still_missing_later_is_gone(self, registry):
-        registry.registry.record_reachability(False)
-        registry.registry.record_reachability(True)
-        registry.registry.remove(["a"])
-        registry.clock.advance(MISSING_ENTRY_GRACE + timedelta(milliseconds=1))
-        registry.registry.settle()
-        assert registry.ids == {"b"}
-
-    def test_one_that_came_back_stays(self, registry):
-        registry.registry.record_reachability(False)
-        registry.registry.record_reachability(True)
-        registry.registry.remove(["a"])
-        registry.put("a", port=1)
-        registry.clock.advance(MISSING_ENTRY_GRACE * 2)
-        registry.registry.settle()
-        assert registry.ids == {"a", "b"}
-
-    def test_a_draining_entry_that_goes_is_gone_also_after_an_outage(self, registry):
-        registry.put("a", port=1, state=EndpointState.DRAINING)
-        registry.registry.record_reachability(False)
-        registry.registry.record_reachability(True)
-        registry.registry.remove(["a"])
-        assert registry.ids == {"b"}
-
-    def test_the_first_contact_is_no_outage(self, registry):
-        registry.registry.record_reachability(True)
-        registry.registry.remove(["a"])
-        assert registry.ids == {"b"}
-
-    def test_an_unknown_entry_is_removed_without_harm(self, registry):
-        registry.registry.remove(["z"])
-        assert registry.gone == []
+    def test_without_an_outage_a_removed_entry_removes_its_endpoint_at_once(
+        self, harness
+    ):
+        harness.registry.remove(["a"])
+        assert harness.ids == {"b"}
+        assert harness.gone == ["a"]
+
+    def test_an_endpoint_whose_entry_lapsed_in_an_outage_is_kept(self, harness):
+        harness.registry.record_reachability(False)
+        harness.registry.remove(["a"])
+        harness.registry.record_reachability(True)
+        harness.registry.drop_missing()
+        assert harness.ids == {"a", "b"}
+
+    def test_an_endpoint_without_an_entry_is_removed_after_the_grace_period(
+        self, harness
+    ):
+        harness.registry.record_reachability(False)
+        harness.registry.record_reachability(True)
+        harness.registry.remove(["a"])
+        harness.clock.advance(MISSING_ENTRY_GRACE + timedelta(milliseconds=1))
+        harness.registry.drop_missing()
+        assert harness.ids == {"b"}
+
+    def test_an_endpoint_whose_entry_reappears_is_kept(self, harness):
+        harness.registry.record_reachability(False)
+        harness.registry.record_reachability(True)
+        harness.registry.remove(["a"])
+        harness.put("a", port=1)
+        harness.clock.advance(MISSING_ENTRY_GRACE * 2)
+        harness.registry.drop_missing()
+        assert harness.ids == {"a", "b"}
+
+    def test_a_draining_endpoint_is_removed_at_once_after_an_outage(self, harness):
+        harness.put("a", port=1, state=EndpointState.DRAINING)
+        harness.registry.record_reachability(False)
+        harness.registry.record_reachability(True)
+        harness.registry.remove(["a"])
+        assert harness.ids == {"b"}
+
+    def test_the_first_contact_starts_no_grace_period(self, harness):
+        harness.registry.record_reachability(True)
+        harness.registry.remove(["a"])
+        assert harness.ids == {"b"}
+
+    def test_the_removal_of_an_unknown_entry_is_ignored(self, harness):
+        harness.registry.remove(["z"])
+        assert harness.gone == []
 
 
 class TestAddresses:
-    def test_a_new_endpoint_ends_the_one_that_had_its_address(self, registry):
-        registry.put("c", port=1)
-        assert registry.ids == {"b", "c"}
-        assert registry.gone == ["a"]
+    def test_a_new_endpoint_replaces_the_one_that_had_its_address(self, harness):
+        harness.put("c", port=1)
+        assert harness.ids == {"b", "c"}
+        assert harness.gone == ["a"]
 
 
 class TestOlderCopy:
-    """The platform came back from a copy from before b had its address."""
+    """The platform was restored from a copy that is older than the entry of b."""
 
     @pytest.fixture
-    def returned(self, registry) -> Book:
-        registry.registry.record_era(1)
-        registry.registry.record_era(2)
-        return registry
+    def returned(self, harness) -> Harness:
+        harness.registry.record_era(1)
+        harness.registry.record_era(2)
+        return harness
 
-    def test_an_endpoint_that_a_later_one_has_replaced_is_not_used(self, returned):
+    def test_a_restored_entry_whose_address_is_in_use_is_not_applied(self, returned):
         returned.put("before-b", port=2)
         assert returned.ids == {"a", "b"}
         returned.clock.advance(MISSING_ENTRY_GRACE)
-        returned.registry.settle()
+        returned.registry.drop_missing()
         assert returned.ids == {"a", "b"}
 
-    def test_it_is_used_once_the_later_one_is_gone(self, returned):
+    def test_it_is_applied_once_the_endpoint_with_its_address_is_removed(
+        self, returned
+    ):
         returned.put("after-b", port=2)
         returned.clock.advance(MISSING_ENTRY_GRACE)
         returned.registry.remove(["b"])
         assert returned.ids == {"a", "after-b"}
 
-    def test_not_where_its_own_entry_has_gone_or_another_has_come(self, returned):
+    def test_it_is_not_applied_after_its_removal_or_replacement(self, returned):
         returned.put("before-a", port=1)
         returned.put("before-b", port=2)
         returned.registry.remove(["before-a"])
@@ -131,14 +137,16 @@
         returned.registry.remove(["a"])
         assert returned.ids == {"after-b"}
 
-    def test_one_that_the_copy_lacks_is_kept_for_a_while(self, returned):
+    def test_an_endpoint_that_the_copy_lacks_is_kept_for_the_grace_period(
+        self, returned
+    ):
         returned.registry.remove(["a"])
         assert returned.ids == {"a", "b"}
         returned.clock.advance(MISSING_ENTRY_GRACE)
-        returned.registry.settle()
+        returned.registry.drop_missing()
         assert returned.ids == {"b"}
 
-    def test_one_that_leaves_is_not_brought_back(self, returned):
+    def test_an_older_entry_does_not_undo_a_departure(self, returned):
         returned.put("a", port=1, state=EndpointState.DRAINING)
         returned.put("a", port=1)
         assert returned.catalog.endpoints_by_id["a"].state is EndpointState.DRAINING
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""When a host that is cut off asks for no new callers."""
+"""Detection of a host that is cut off and should get no new callers."""
 
 import asyncio
 
@@ -12,17 +12,17 @@
 
 
 class FakeEngine:
-    """Takes connections or not."""
+    """An endpoint that is reachable or not."""
 
     def __init__(self) -> None:
-        self.is_there = False
+        self.accepts = False
 
     async def is_reachable(self) -> bool:
-        return self.is_there
+        return self.accepts
 
 
 class FakeRoster:
-    """Hosts of other failure domains."""
+    """A roster with two hosts of other failure domains."""
 
     failure_domain = "pilar"
 
@@ -34,13 +34,13 @@
 
 
 class FakePeers:
-    """Links to them."""
+    """The links to these hosts."""
 
     def __init__(self) -> None:
-        self.out_of_reach: set[str] = set()
+        self.unreachable: set[str] = set()
 
     async def is_reachable(self, host_id: str) -> bool:
-        return host_id not in self.out_of_reach
+        return host_id not in self.unreachable
 
 
 class Cut:
@@ -67,7 +67,7 @@
             connect=lambda endpoint: self.engines[endpoint.id],
         )
         self.roster, self.peers = FakeRoster(), FakePeers()
-        self.told: list[bool] = []
+        self.changes: list[bool] = []
         self.has_platform = True
         self.isolation = Isolation(
             fleet=self.fleet,
@@ -76,7 +76,7 @@
             clock=self.clock,
             services=lambda: ["look"],
             has_platform=lambda: self.has_platform,
-            changed=self.told.append,
+            changed=self.changes.append,
         )
 
     def check(self) -> bool:
@@ -86,60 +86,60 @@
 
 @pytest.fixture
 def cut() -> Cut:
-    """Return a host that is cut off from all that it needs."""
+    """Return a host that reaches no other domain and no endpoint."""
     made = Cut()
-    made.peers.out_of_reach = {"far-1", "far-2"}
+    made.peers.unreachable = {"far-1", "far-2"}
     return made
 
 
 class TestIsolation:
     def test_a_host_cut_off_from_a_whole_service_is_isolated(self, cut):
         assert cut.check()
-        assert cut.told == [True]
+        assert cut.changes == [True]
 
     @pytest.mark.parametrize("left", ["e1", "e2"])
-    def test_one_that_has_an_endpoint_left_is_not(self, cut, left):
-        cut.engines[left].is_there = True
+    def test_a_host_with_a_reachable_endpoint_is_not_isolated(self, cut, left):
+        cut.engines[left].accepts = True
         assert not cut.check()
 
-    def test_one_without_the_platform_is_isolated_whatever_it_has_left(self, cut):
-        cut.engines["e1"].is_there = cut.engines["e2"].is_there = True
+    def test_a_host_without_the_platform_is_isolated_despite_endpoints(self, cut):
+        cut.engines["e1"].accepts = cut.engines["e2"].accepts = True
         cut.has_platform = False
         assert cut.check()
         cut.has_platform = True
         assert not cut.check()
 
-    def test_the_platforms_outage_alone_isolates_nobody(self, cut):
-        cut.peers.out_of_reach = set()
+    def test_an_outage_of_the_platform_alone_isolates_no_host(self, cut):
+        cut.peers.unreachable = set()
         cut.has_platform = False
         assert not cut.check()
 
-    def test_one_that_hears_another_failure_domain_is_not(self, cut):
-        cut.peers.out_of_reach = {"far-1"}
+    def test_a_host_that_reaches_another_failure_domain_is_not_isolated(self, cut):
+        cut.peers.unreachable = {"far-1"}
         assert not cut.check()
 
-    def test_one_that_knows_no_other_failure_domain_is_not(self, cut):
+    def test_a_host_that_knows_no_other_failure_domain_is_not_isolated(self, cut):
         cut.roster.far = []
         assert not cut.check()
 
-    def test_it_ends_when_an_endpoint_takes_connections_again(self, cut):
+    def test_isolation_ends_when_an_endpoint_becomes_reachable(self, cut):
         cut.check()
         assert cut.check()
-        cut.engines["e2"].is_there = True
+        cut.engines["e2"].accepts = True
         assert not cut.check()
-        assert cut.told == [True, False]
+        assert cut.changes == [True, False]
 
-    def test_it_ends_when_another_failure_domain_is_heard(self, cut):
+    def test_isolation_ends_when_another_failure_domain_becomes_reachable(self, cut):
         cut.check()
-        cut.peers.out_of_reach = set()
+        cut.peers.unreachable = set()
         assert not cut.check()
 
-    def test_a_service_without_endpoints_is_nobodys_to_serve(self, cut):
+    def test_a_service_without_endpoints_isolates_no_host(self, cut):
         for name in ("e1", "e2"):
             cut.catalog.drop_endpoint(name)
         assert not cut.check()
 
-    def test_a_cut_that_gossip_forgets_goes_on(self, cut):
+    def test_isolation_continues_after_gossip_removes_the_other_hosts(self, cut):
         cut.check()
         cut.roster.far = []
         assert cut.check()
--- a/tests/test_leaving_endpoints.py
+++ b/tests/test_leaving_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that say in their answers that they leave."""
+"""Endpoints that state in their answers that they are leaving."""
 
 import asyncio
 from datetime import timedelta
@@ -16,15 +16,15 @@
 from tests.fakes import make_catalog
 from tests.platform_system import PlatformSystem, run
 
-#: How long after a host has passed on an answer that says so requests may still be sent
-#: to the endpoint, in seconds.
+#: Time after a host has passed on an answer with this directive in which it may still
+#: send the endpoint requests, in seconds.
 DRAIN = 2.0
-#: By then a request that nobody can take is refused, in seconds.
+#: Maximum time until a request is refused if no endpoint can take it, in seconds.
 AT_ONCE = 0.5
 
 
 def late_requests(system: PlatformSystem, sent: list[Sent]) -> list[str]:
-    """Return the requests that came to an endpoint too late after its word."""
+    """Return the requests that hosts sent too late after the directive."""
     sent_by_id = {request.id: request for request in sent}
     late = []
     for runner in system.runners.values():
@@ -41,8 +41,8 @@
 
 @pytest.mark.parametrize("service", [ENGINE, LOOKUPS], ids=["stream", "call"])
 class TestLeavingEndpoint:
-    # Guards against hosts that send on to an endpoint whose answers say that it leaves.
-    def test_it_gets_no_more_and_the_others_serve_all(self, service):
+    # Guards against hosts that keep sending to an endpoint that states its departure.
+    def test_it_gets_no_more_requests_and_other_endpoints_serve_all(self, service):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, service, endpoints=3)
             system.runners["i-0"].faults.leaving = "1"
@@ -52,8 +52,9 @@
 
         run(test)
 
-    # Guards against hosts that learn of it each by a request of their own.
-    def test_the_other_hosts_are_told(self, service):
+    # Guards against departures that hosts don't send to each other: then each host
+    # learns of one only by a request that it sends to the leaving endpoint.
+    def test_the_departure_is_sent_to_other_hosts(self, service):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, service, endpoints=1)
             runner = system.runners["i-0"]
@@ -71,8 +72,8 @@
 
         run(test)
 
-    # Guards against waiting for endpoints of which all have said that they leave.
-    def test_where_all_leave_requests_are_refused_at_once(self, service):
+    # Guards against requests that wait while all endpoints of the service are leaving.
+    def test_requests_are_refused_at_once_if_all_endpoints_leave(self, service):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, service, endpoints=3)
             for runner in system.runners.values():
@@ -88,8 +89,8 @@
         run(test)
 
 
-class TestWord:
-    def test_it_holds_for_one_start_and_nothing_late_undoes_it(self):
+class TestLeavingDirective:
+    def test_it_applies_to_one_start_and_a_later_answer_does_not_undo_it(self):
         old = Endpoint(id="e", service="s", url="http://x:1", failure_domain="d")
         old = attrs.evolve(old, incarnation=1)
         new = attrs.evolve(old, incarnation=2)
--- a/tests/test_request_limits.py
+++ b/tests/test_request_limits.py
@@ -1,4 +1,4 @@
-"""Endpoints that name how many requests a second they take from all hosts together."""
+"""Request limits that endpoints set for all hosts together."""
 
 from bisect import bisect_left
 from datetime import timedelta
@@ -17,13 +17,13 @@
 from tests.fakes import make_catalog
 from tests.platform_system import PlatformSystem, run
 
-#: What the users allow in any span of so long, in seconds: so many times the limit, and
-#: some more.
+#: The number of requests that an endpoint may get in any span of SPAN seconds: SLACK
+#: times what its limit allows, and MORE requests.
 SPAN = 4.0
 SLACK = 1.5
 MORE = 5
-#: A host that was told may still send for so long, in seconds.
-TOLD_FOR = 0.5
+#: Time after the first answer with a limit in which hosts may exceed it, in seconds.
+UPDATE_TIME = 0.5
 
 
 def allowed(limit: float) -> float:
@@ -31,16 +31,16 @@
 
 
 def most_in_span(times: list[float]) -> int:
-    """Return the most of some moments that lie within one span."""
+    """Return the maximum number of the given times that lie within one span."""
     times = sorted(times)
     ends = [bisect_left(times, at + SPAN) for at in times]
     return max((end - first for first, end in enumerate(ends)), default=0)
 
 
 @pytest.mark.parametrize("service", [ENGINE, LOOKUPS], ids=["stream", "call"])
-class TestNamedLimit:
-    # Guards against hosts that send on to an endpoint that has named its limit.
-    def test_it_is_kept_by_all_hosts_and_the_others_serve_the_rest(self, service):
+class TestEndpointLimit:
+    # Guards against hosts that keep sending to an endpoint above the limit that it set.
+    def test_all_hosts_keep_to_it_and_other_endpoints_serve_the_rest(self, service):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, service, endpoints=4)
             for runner in list(system.runners.values())[:2]:
@@ -48,7 +48,7 @@
             sent = await send_load(system, service, seconds=6)
             assert {request.answer.status for request in sent} == {200}
             for runner in list(system.runners.values())[:2]:
-                told_at = runner.requested_at[0] + TOLD_FOR
+                told_at = runner.requested_at[0] + UPDATE_TIME
                 times = [at for at in runner.requested_at if at >= told_at]
                 assert most_in_span(times) <= allowed(1.3)
                 assert times, "it takes some"
@@ -64,14 +64,14 @@
 def limited(
     rate: float | None = 2.0, *, hosts: int = 1, rank: int = 0
 ) -> RequestLimits:
-    """Return what a host knows that an endpoint has just told its limit."""
+    """Return the limits of a host just after an endpoint has set one."""
     limits = RequestLimits(count_hosts=lambda: hosts, rank=lambda endpoint_id: rank)
     limits.record_answer(START, rate, sent_at=NOW, now=NOW)
     return limits
 
 
 def send_all(hosts: list[RequestLimits], *, seconds: float) -> list[float]:
-    """Let each host send as soon as it may; return when requests were sent."""
+    """Let each host send as soon as it may, and return the times of the requests."""
     sent = []
     for number in range(int(seconds / STEP.total_seconds())):
         now = NOW + number * STEP
@@ -88,19 +88,19 @@
 class TestShares:
     @pytest.mark.parametrize("hosts", [1, 3, 7, 90, 330])
     @pytest.mark.parametrize("rate", [0.0, 0.3, 1.3, 8.0, 60.0, 500.0])
-    def test_all_hosts_together_keep_to_it_and_use_it(self, hosts, rate):
+    def test_all_hosts_together_keep_to_the_limit_and_use_it(self, hosts, rate):
         all_hosts = [limited(rate, hosts=hosts, rank=rank) for rank in range(hosts)]
         sent = send_all(all_hosts, seconds=12)
         assert most_in_span(sent) <= allowed(rate)
         assert len(sent) >= 0.7 * 12 * rate - 5
 
     @pytest.mark.parametrize("rate", [0.3, 1.3, 8.0, 60.0])
-    def test_they_keep_to_it_while_they_disagree_on_who_shares_it(self, rate):
+    def test_hosts_keep_to_the_limit_while_they_disagree_on_who_shares_it(self, rate):
         all_hosts = [limited(rate, hosts=90, rank=rank) for rank in range(90)]
         all_hosts.append(limited(rate, hosts=90, rank=0))
         assert most_in_span(send_all(all_hosts, seconds=12)) <= allowed(rate)
 
-    def test_hosts_of_its_failure_domain_come_first_and_none_twice(self):
+    def test_hosts_of_the_endpoints_failure_domain_come_first(self):
         rows = [
             MemberRow(
                 host_id=f"h{number}",
@@ -133,12 +133,12 @@
 
 
 class TestAnswers:
-    def test_without_a_limit_there_is_room(self):
+    def test_without_a_limit_all_requests_are_accepted(self):
         limits = RequestLimits()
         assert all(limits.take(START, now=NOW) for _ in range(100))
         assert limits.time_until_capacity(START, now=NOW) == timedelta(0)
 
-    def test_from_the_first_answer_that_names_it_nothing_more_is_sent_at_once(self):
+    def test_the_first_answer_with_a_limit_leaves_no_credit(self):
         limits = limited(2.0)
         assert not limits.take(START, now=NOW)
         wait = limits.time_until_capacity(START, now=NOW)
@@ -146,7 +146,7 @@
         assert limits.take(START, now=NOW + wait)
         assert not limits.take(START, now=NOW + wait)
 
-    def test_an_answer_without_it_lifts_it_and_one_with_another_changes_it(self):
+    def test_a_later_answer_changes_or_lifts_the_limit(self):
         later = NOW + timedelta(seconds=1)
         limits = limited(2.0)
         assert limits.record_answer(START, 10.0, sent_at=NOW, now=NOW)
@@ -154,37 +154,37 @@
         assert limits.record_answer(START, None, sent_at=later, now=later)
         assert all(limits.take(START, now=later) for _ in range(100))
 
-    def test_an_answer_from_before_it_does_not_lift_it(self):
+    def test_an_answer_to_an_earlier_request_does_not_lift_the_limit(self):
         limits = limited(2.0)
         later, before = NOW + timedelta(seconds=1), NOW - timedelta(seconds=1)
         assert not limits.record_answer(START, None, sent_at=before, now=later)
         assert limits.take(START, now=later)
         assert not limits.take(START, now=later)
 
-    def test_another_start_has_none(self):
+    def test_another_start_of_the_endpoint_has_no_limit(self):
         limits = limited(2.0)
         other = EndpointStart(endpoint_id="e", incarnation=2)
         assert limits.take(other, now=NOW)
 
-    def test_one_that_takes_none_is_asked_now_and_then(self):
+    def test_an_endpoint_with_limit_zero_is_probed(self):
         limits = limited(0.0)
         assert limits.time_until_capacity(START, now=NOW) == timedelta(seconds=10)
         assert limits.take(START, now=NOW + timedelta(seconds=10))
 
-    def test_a_host_without_a_part_sends_nothing_and_says_when_others_may(self):
+    def test_a_host_without_a_share_returns_when_other_hosts_may_send(self):
         limits = limited(2.0, hosts=7, rank=6)
         later = NOW + RETENTION_TIME
         assert not limits.take(START, now=later)
         assert limits.time_until_capacity(START, now=later) == timedelta(seconds=0.5)
 
-    def test_it_lapses_where_no_answer_names_it(self):
+    def test_a_limit_that_no_answer_repeats_expires(self):
         limits = limited(2.0, hosts=7, rank=6)
         later = NOW + RETENTION_TIME + timedelta(seconds=1)
         assert limits.take(START, now=later)
         assert limits.rows(now=later) == []
 
     @pytest.mark.parametrize("text", ["", "-1", "nan", "inf", "1e999", "many", "1,5"])
-    def test_what_is_no_limit_is_told_apart(self, text):
+    def test_an_invalid_limit_is_rejected(self, text):
         with pytest.raises(ValueError):
             decode_limit(text.encode())
 
@@ -198,7 +198,7 @@
         ),
         st.randoms(use_true_random=False),
     )
-    def test_hosts_agree_on_the_newest_in_whatever_order_they_hear(self, told, rng):
+    def test_hosts_agree_on_the_newest_limit_in_any_order_of_updates(self, told, rng):
         rows = [
             LimitRow(endpoint_id="e", incarnation=1, rate=rate, age_ms=age)
             for age, rate in told
@@ -214,7 +214,7 @@
         if rows:
             assert known[0] == [min(rows, key=lambda row: row.age_ms)]
 
-    def test_what_is_told_is_bounded_and_the_newest(self):
+    def test_only_the_newest_limits_are_sent(self):
         limits = RequestLimits()
         for number in range(3 * MAX_SENT):
             start = EndpointStart(endpoint_id=f"e{number}")
--- a/tests/test_retry_release.py
+++ b/tests/test_retry_release.py
@@ -1,4 +1,4 @@
-"""Repeats that are taken for a silent endpoint, and what asking for them leaves."""
+"""Retries that are taken while an endpoint is silent: unused ones, failed requests."""
 
 import asyncio
 from datetime import timedelta
@@ -13,20 +13,20 @@
 from tests.test_replicas import WHOLE, World
 
 TIME_LEFT = timedelta(seconds=20)
-#: Four hosts that are asked one after the other, 60 ms each.
-LENDING_TAKES = 0.2
-NO_REPEATS = 0.0
+#: Duration of a loan, in seconds: four hosts asked in turn, up to 60 ms each.
+LOAN_TIME = 0.2
+NO_RETRIES = 0.0
 
 
-class TestARepeatThatIsNotUsed:
-    def test_is_left_for_others_once_the_endpoint_is_heard_again(self):
+class TestUnusedRetry:
+    def test_it_is_released_once_the_endpoint_sends_output_again(self):
         async def test() -> None:
-            world = World(most=NO_REPEATS)
+            world = World(most=NO_RETRIES)
             asked = asyncio.Event()
 
             async def lend(service: str, amount: float) -> float:
                 asked.set()
-                await asyncio.sleep(LENDING_TAKES)
+                await asyncio.sleep(LOAN_TIME)
                 return amount
 
             world.budgets._ask_others = lend
@@ -43,18 +43,18 @@
         run_virtually(test())
 
 
-class TestAskingThatFails:
-    def test_a_stream_leaves_its_silent_endpoint_at_the_next_look(self):
-        """Whoever was asked was let go of meanwhile: that cancels the asking."""
+class TestFailedLoan:
+    def test_a_stream_fails_over_from_its_silent_endpoint_at_the_next_check(self):
+        """The asked peer is removed meanwhile, which cancels the request for a loan."""
 
         async def test() -> None:
-            world = World(most=NO_REPEATS)
-            looks = 0
+            world = World(most=NO_RETRIES)
+            attempts = 0
 
             async def lend(service: str, amount: float) -> float:
-                nonlocal looks
-                looks += 1
-                if looks == 1:
+                nonlocal attempts
+                attempts += 1
+                if attempts == 1:
                     raise asyncio.CancelledError
                 return amount
 
@@ -68,22 +68,22 @@
 
         run_virtually(test())
 
-    def test_an_asker_whose_peer_is_let_go_of_hears_a_peer_error(self):
+    def test_a_request_to_a_peer_that_is_removed_raises_a_peer_error(self):
         async def test() -> None:
             ports = [parse_address(f"127.0.0.1:{port}") for port in free_ports(2)]
             peers = Peers(
                 host_id="a", listen=ports[0], peers_by_id={}, keys=[b"k" * 32]
             )
             peers.start()
-            # Nobody listens there, so the question waits for the link.
+            # No host listens at this address, so the request waits for the link.
             peers.add_peer(
                 PeerAddress(host_id="b", failure_domain="d", address=ports[1])
             )
-            asking = asyncio.create_task(peers.ask("b", FetchConfig(after=0)))
+            request = asyncio.create_task(peers.ask("b", FetchConfig(after=0)))
             await asyncio.sleep(0.1)
             peers.remove_peer("b")
             with pytest.raises(PeerError):
-                await asking
+                await request
             await peers.stop()
 
         asyncio.run(test())
--- a/tests/test_service_budgets.py
+++ b/tests/test_service_budgets.py
@@ -1,4 +1,4 @@
-"""One host's part of the repeats that all hosts share."""
+"""One host's part of the retry budgets that all hosts share."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from tests.gossip_fleet import Fleet, Node
 
 WINDOW = timedelta(seconds=10)
-#: What a property step may be: a request, a repeat, a resume, or time that passes.
+#: Steps of a property test: a request, a retry, a resume, or time that passes.
 STEPS = st.sampled_from(["request", "spend", "resume", "0.7 s", "4 s"])
 TAKES = {"spend": "try_spend", "resume": "try_resume"}
 
@@ -34,20 +34,20 @@
 
 
 class TestServiceBudgets:
-    def test_resumes_may_use_what_repeats_may_not(self):
+    def test_resumes_may_use_the_reserved_part(self):
         budgets, _ = make_budgets(share=0.5, extra=lambda: 10)
-        repeats = sum(budgets.try_spend("w", service="s") for _ in range(20))
+        retries = sum(budgets.try_spend("w", service="s") for _ in range(20))
         resumes = sum(budgets.try_resume("w", service="s") for _ in range(20))
-        assert (repeats, resumes) == (5, 5)
+        assert (retries, resumes) == (5, 5)
 
-    def test_services_have_budgets_of_their_own(self):
+    def test_each_service_has_a_separate_budget(self):
         budgets, _ = make_budgets(share=0.5, extra=lambda: 4)
         while budgets.try_spend("w", service="a"):
             pass
         assert budgets.try_spend("w", service="b")
 
-    def test_what_the_last_requests_earned_is_there_at_once(self):
-        # One of 88 hosts, whose part of the extra repeats is less than two.
+    def test_what_recent_requests_earned_may_be_spent_at_once(self):
+        # One of 88 hosts: its part of the extra retries is less than two.
         budgets, clock = make_budgets(share=0.8, extra=lambda: 150 / 88)
         for _ in range(5):
             budgets.earn("w", service="s")
@@ -55,17 +55,17 @@
         resumes = sum(budgets.try_resume("w", service="s") for _ in range(10))
         assert resumes == 5
 
-    def test_what_is_older_than_the_window_does_not_count(self):
+    def test_requests_older_than_the_window_do_not_count(self):
         budgets, clock = make_budgets(share=1, extra=lambda: 0, resume_part=0)
         budgets.earn("w", service="s")
         clock.advance(WINDOW)
         assert not budgets.try_resume("w", service="s")
 
     @given(st.lists(STEPS, max_size=200), st.integers(1, 20))
-    def test_repeats_keep_to_the_share_and_the_extra(self, steps, extra):
+    def test_retries_keep_to_the_share_and_the_extra(self, steps, extra):
         budgets, clock = make_budgets(share=0.8, extra=lambda: extra)
         requests: list[timedelta] = []
-        repeats: list[timedelta] = []
+        retries: list[timedelta] = []
         for step in steps:
             now = clock.monotonic()
             if step == "request":
@@ -73,19 +73,19 @@
                 requests.append(now)
             elif step in TAKES:
                 if getattr(budgets, TAKES[step])("w", service="s"):
-                    repeats.append(now)
-                    # Each repeat keeps to the window that ends with it.
-                    last = count_since(repeats, now - WINDOW)
+                    retries.append(now)
+                    # The bound holds in the window that ends with each retry.
+                    last = count_since(retries, now - WINDOW)
                     assert last <= extra + 0.8 * count_since(requests, now - WINDOW)
             else:
                 clock.advance(timedelta(seconds=float(step.removesuffix(" s"))))
-            # In any window there are no more than the requests of that window and of
-            # the one before it allow: what those earned may be spent a little later.
+            # In any other window the retries are bounded by the requests of this window
+            # and of the one before: what they earned may be spent a little later.
             now = clock.monotonic()
-            last = count_since(repeats, now - WINDOW)
+            last = count_since(retries, now - WINDOW)
             assert last <= extra + 0.8 * count_since(requests, now - 2 * WINDOW)
 
-    def test_a_budget_shrinks_as_hosts_are_met(self):
+    def test_a_budget_shrinks_as_more_hosts_are_known(self):
         extra = 20.0
         budgets, _ = make_budgets(share=0, extra=lambda: extra, resume_part=0)
         assert budgets.try_spend("w", service="s")
@@ -94,7 +94,7 @@
 
 
 class Lenders:
-    """Hosts that share a budget and lend each other."""
+    """Hosts that share a budget and lend to each other."""
 
     def __init__(self, *, hosts: int, share: float, extra: float, clock) -> None:
         self.budgets = [
@@ -120,12 +120,12 @@
 
 
 async def take(budgets: ServiceBudgets, *, is_resume: bool) -> bool:
-    """Take a repeat as requests do: from the own part, or borrowed."""
+    """Take a retry as requests do: from the local part, or borrowed."""
     return await acquire_retry(budgets, "w", service="s", is_resume=is_resume)
 
 
 def make_started(node: Node, *, like: ServiceBudgets | None = None) -> ServiceBudgets:
-    """Return the budgets of a host of a fleet, started now or when another was."""
+    """Return the budgets of a host, started now or at the start of other budgets."""
     budgets = ServiceBudgets(
         share=0.8,
         extra=lambda: 150 / max(node.roster.peak, MIN_BUDGET_HOSTS),
@@ -141,13 +141,14 @@
 class TestManyHosts:
     """A budget shared by hundreds of hosts.
 
-    The pattern: the endpoints of a failure domain are lost, every second time silently,
-    while each of 195 hosts carries one stream in ten seconds. The users allow 0.8
-    repeats a request and 150 more in ten seconds; before hosts lent each other, 43 of
-    1,194 streams of a played day ended for want of a second repeat.
+    Guards against streams that end because their host has no second retry left, while
+    other hosts do. The endpoints of a failure domain fail, every second time silently,
+    while each of 195 hosts serves one stream in ten seconds. The budget is 0.8 retries
+    per request and 150 more in ten seconds. Before hosts lent to each other, 43 of
+    1,194 streams of a simulated day ended this way.
     """
 
-    def test_a_stream_that_is_lost_three_times_goes_on(self):
+    def test_a_stream_that_is_lost_three_times_is_resumed(self):
         async def test() -> None:
             clock = ManualClock()
             lenders = Lenders(hosts=195, share=0.8, extra=150, clock=clock)
@@ -158,7 +159,7 @@
 
         asyncio.run(test())
 
-    def test_hosts_that_start_together_have_no_more_than_all_may(self):
+    def test_hosts_that_start_together_stay_within_the_budget(self):
         async def test() -> None:
             fleet = Fleet(hosts=195, domains=5)
             fleet.start(fleet.rows)
@@ -180,12 +181,12 @@
             max_size=120,
         )
     )
-    def test_all_together_keep_to_the_whole(self, steps):
+    def test_all_hosts_together_stay_within_the_budget(self, steps):
         async def test() -> None:
             clock = ManualClock()
             lenders = Lenders(hosts=6, share=0.8, extra=9, clock=clock)
             requests: list[timedelta] = []
-            repeats: list[timedelta] = []
+            retries: list[timedelta] = []
             for host, step in steps:
                 now, budgets = clock.monotonic(), lenders.budgets[host]
                 if step == "request":
@@ -193,11 +194,11 @@
                     requests.append(now)
                 elif step in TAKES:
                     if await take(budgets, is_resume=step == "resume"):
-                        repeats.append(now)
+                        retries.append(now)
                 else:
                     clock.advance(timedelta(seconds=3))
                 now = clock.monotonic()
                 allowed = 9 + 0.8 * count_since(requests, now - 2 * WINDOW)
-                assert count_since(repeats, now - WINDOW) <= allowed + 0.001
+                assert count_since(retries, now - WINDOW) <= allowed + 0.001
 
         asyncio.run(test())
--- a/tests/test_starved_hosts.py
+++ b/tests/test_starved_hosts.py
@@ -1,16 +1,15 @@
-"""A host that gets little processor is left by the balancer.
-
-What happens: a host whose processor is taken by others stays ready. Beside 14 busy
-processes on its core it serves 232 of 928 calls that come at 100 a second, where its
-neighbour serves 928 of 928 in 25 ms each; at 30 a second it serves all, in 114 ms.
-
-Why, as far as it is known: it gets a tenth of a core, enough for some 80 calls a
-second. The rest waits in the queue of connections that it has not accepted, the oldest
-first, until callers leave; it then takes what nobody waits for any more. Its timers are
-20 to 50 ms late, so that its own measure of pauses sees nothing.
-
-What showed it: the times at which connections are accepted, two or three each 40 ms,
-with 1.2 ms of processor time for each; the lateness of its timers beside them.
+"""The balancer avoids a host that gets too little processor time.
+
+Guards against a host that stays ready while other processes use its processor. Beside
+14 busy processes on its core such a host served 232 of 928 calls at 100 calls per
+second, while its neighbour served all 928 in 25 ms each; at 30 calls per second it
+served all, in 114 ms.
+
+How it comes about, as far as is known: the host gets a tenth of a core, enough for some
+80 calls per second. Further connections wait to be accepted, the oldest first, until
+their callers give up; the host then accepts connections that no caller waits for any
+more. It accepted two or three connections every 40 ms, at 1.2 ms of processor time
+each. Its timers were only 20 to 50 ms late, too little to be detected as a pause.
 """
 
 import asyncio
@@ -35,16 +34,17 @@
 from tests.test_own_pauses import call, serving
 
 BUSY_PROCESSES = 14
-CALLS_A_SECOND = 100
+CALLS_PER_SECOND = 100
 SECONDS = 10.0
-PATIENCE = 1.5
-#: For so long the balancer and the host may need to find out, in seconds.
-SECONDS_TO_FIND = 4.0
+#: Timeout of each call, in seconds.
+CALL_TIMEOUT = 1.5
+#: Time for the host and the balancer to detect the overload, in seconds.
+DETECTION_TIME = 4.0
 
 
 @contextlib.asynccontextmanager
 async def neighbour(place: Place, folder: Path) -> AsyncIterator[Running]:
-    """Start a second host beside the same store, in another failure domain."""
+    """Start a second host on the same store, in another failure domain."""
     front, ready, control = free_ports(3)
     text = place.path.read_text().replace("=pilar\n", "=tigre\n")
     for before, after in (
@@ -73,7 +73,7 @@
 
 @attrs.define(kw_only=True)
 class Balancer:
-    """Asks a host once a second, and sends its callers elsewhere after two misses."""
+    """Polls a host once a second, and avoids it after two negative answers."""
 
     host: Running
     other: Running
@@ -81,29 +81,31 @@
 
     @property
     def chosen(self) -> Running:
-        """Where a new caller is sent."""
+        """The host that a new caller is sent to."""
         return self.host if self.misses < 2 else self.other
 
     async def run(self) -> None:
-        """Ask, for ever."""
+        """Poll the host until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(1):
-                    is_in = await is_ready(self.host)
+                    is_ready_now = await is_ready(self.host)
             except TimeoutError:
-                is_in = False
-            self.misses = 0 if is_in else self.misses + 1
+                is_ready_now = False
+            self.misses = 0 if is_ready_now else self.misses + 1
             await asyncio.sleep(1)
 
 
 class TestStarvedHost:
-    def test_callers_are_served_as_at_its_neighbour(self, tmp_path):
+    def test_callers_are_served_although_a_host_is_starved(self, tmp_path):
         core, *others = sorted(os.sched_getaffinity(0))
 
         async def ask(balancer: Balancer, number: int) -> bool:
-            work = call(balancer.chosen, "/look/1", deadline=PATIENCE, number=number)
+            work = call(
+                balancer.chosen, "/look/1", deadline=CALL_TIMEOUT, number=number
+            )
             try:
-                return await asyncio.wait_for(work, PATIENCE) == 200
+                return await asyncio.wait_for(work, CALL_TIMEOUT) == 200
             except (OSError, TimeoutError):
                 return False
 
@@ -116,16 +118,16 @@
                 for thread in os.listdir(f"/proc/{host.process.pid}/task"):
                     os.sched_setaffinity(int(thread), {core})
                 balancer = Balancer(host=host, other=other)
-                asking = asyncio.create_task(balancer.run())
+                polling = asyncio.create_task(balancer.run())
                 with busy_machine(BUSY_PROCESSES, core=core):
                     await asyncio.sleep(1)
                     calls = []
-                    for number in range(int(SECONDS * CALLS_A_SECOND)):
+                    for number in range(int(SECONDS * CALLS_PER_SECOND)):
                         calls.append(asyncio.create_task(ask(balancer, number)))
-                        await asyncio.sleep(1 / CALLS_A_SECOND)
+                        await asyncio.sleep(1 / CALLS_PER_SECOND)
                     served = await asyncio.gather(*calls)
-                asking.cancel()
-                late = served[int(SECONDS_TO_FIND * CALLS_A_SECOND) :]
+                polling.cancel()
+                late = served[int(DETECTION_TIME * CALLS_PER_SECOND) :]
                 assert sum(late) >= 0.9 * len(late), (
                     sum(late),
                     messages(host.log)[-20:],
