--- a/passtally/completion.py
+++ b/passtally/completion.py
@@ -1,4 +1,4 @@
-"""The usual completion API: requests in, events and whole answers out."""
+"""Parses requests of the usual completion API, and renders its events and answers."""
 
 import secrets
 import time
@@ -20,7 +20,7 @@
 
 
 class Flavour(StrEnum):
-    """The two shapes of the API."""
+    """The two flavours of the API: chat messages or a text prompt."""
 
     CHAT = "chat"
     TEXT = "text"
@@ -36,16 +36,16 @@
 
 
 class CompletionBody(msgspec.Struct, kw_only=True):
-    """A caller's request. Fields that are not listed are ignored.
+    """The body of a caller's request. Fields that are not listed are ignored.
 
     Attributes:
         model: The service's id.
-        messages: The conversation, for the chat shape.
-        prompt: The prompt, for the text shape.
-        max_tokens: Where the answer ends at the latest.
-        max_completion_tokens: The newer name of the same.
+        messages: The conversation, for the chat flavour.
+        prompt: The prompt, for the text flavour.
+        max_tokens: The maximum length of the answer in tokens.
+        max_completion_tokens: The newer name of ``max_tokens``; takes precedence.
         temperature: The sampling temperature, 0 to 2.
-        seed: The sampling seed; chosen here where none is given.
+        seed: The sampling seed; a random one is chosen if it is missing.
         stop: Strings that end the answer.
         stream: Whether the answer is sent as events.
         stream_options: Whether the last event carries the usage.
@@ -64,20 +64,20 @@
 
 
 def parse_body(raw: bytes, flavour: Flavour) -> CompletionBody:
-    """Read and check a caller's request.
+    """Parse and validate the body of a caller's request.
 
     Raises:
-        RefusedError: It is not JSON, or not a request of this shape.
+        RefusedError: The body is not JSON, or not a request of this flavour.
     """
     try:
         body = msgspec.json.decode(raw, type=CompletionBody)
     except msgspec.ValidationError as error:
-        raise _bad(Code.BAD_REQUEST, str(error)) from error
+        raise _bad_request(Code.BAD_REQUEST, str(error)) from error
     except msgspec.DecodeError as error:
-        raise _bad(Code.BAD_JSON, f"The body is not JSON: {error}") from error
+        raise _bad_request(Code.BAD_JSON, f"The body is not JSON: {error}") from error
     problem = _find_problem(body, flavour)
     if problem:
-        raise _bad(Code.BAD_REQUEST, problem)
+        raise _bad_request(Code.BAD_REQUEST, problem)
     return body
 
 
@@ -89,14 +89,14 @@
     service: Service,
     generation_id: str = "",
 ) -> GenerationRequest:
-    """Return what is to be generated.
+    """Return the generation request for a caller's request.
 
     Args:
-        body: What the caller sent.
-        flavour: Its shape.
-        workspace: Whose it is.
-        service: The service it names.
-        generation_id: Its id, where it has one already.
+        body: The body of the caller's request.
+        flavour: The flavour of the API.
+        workspace: The caller's workspace.
+        service: The service that the body names.
+        generation_id: The generation's id; empty for a new id.
     """
     seed = body.seed if body.seed is not None else secrets.randbits(_SEED_BITS)
     prompt = body.prompt if flavour is Flavour.TEXT else _flatten(body.messages)
@@ -120,7 +120,10 @@
 
 
 def resume_request(request: GenerationRequest, stream: StreamRef) -> GenerationRequest:
-    """Return a request as it began, whatever its service has become since."""
+    """Return a request with the parameters of its stream.
+
+    The service's configuration may have changed since the answer began.
+    """
     return attrs.evolve(
         request,
         id=stream.generation_id,
@@ -133,16 +136,16 @@
 
 
 def new_generation_id() -> str:
-    """Return a new id; its first part is its time in seconds."""
+    """Return a new id; its first part is the time of creation in seconds, in hex."""
     return f"gen-{int(time.time()):08x}-{secrets.token_hex(8)}"
 
 
 @attrs.frozen(kw_only=True)
 class AnswerFormat:
-    """Writes events and answers in one flavour of the API.
+    """Renders events and answers in one flavour of the API.
 
     Attributes:
-        flavour: Which of the two.
+        flavour: The flavour of the API.
         include_usage: Whether the last event carries the usage.
     """
 
@@ -150,8 +153,8 @@
     include_usage: bool = False
 
     def event_parts(self, request: GenerationRequest) -> tuple[bytes, bytes]:
-        """Return what stands before and after the text in each event."""
-        head = msgspec.json.encode(self._head_row(request, "chunk"))[:-1]
+        """Return the bytes before and after the text in each event but the last."""
+        head = msgspec.json.encode(self._common_fields(request, "chunk"))[:-1]
         if self.flavour is Flavour.CHAT:
             before = head + b',"choices":[{"index":0,"delta":{"content":'
             return before, b'},"finish_reason":null}]}\n\n'
@@ -162,7 +165,7 @@
         """Return the data of the event that ends an answer."""
         row = {"content": text} if text else {}
         row = {"delta": row} if self.flavour is Flavour.CHAT else {"text": text}
-        event = self._head_row(generation.request, "chunk") | {
+        event = self._common_fields(generation.request, "chunk") | {
             "choices": [row | {"index": 0, "finish_reason": generation.finish_reason}]
         }
         if self.include_usage:
@@ -176,11 +179,11 @@
             message = {"message": {"role": "assistant", "content": text}}
         choice = message | {"index": 0, "finish_reason": generation.finish_reason}
         return msgspec.json.encode(
-            self._head_row(generation.request, "whole")
+            self._common_fields(generation.request, "whole")
             | {"choices": [choice], "usage": _usage(generation)}
         )
 
-    def _head_row(self, request: GenerationRequest, form: str) -> dict[str, Any]:
+    def _common_fields(self, request: GenerationRequest, form: str) -> dict[str, Any]:
         names = {
             (Flavour.CHAT, "chunk"): "chat.completion.chunk",
             (Flavour.CHAT, "whole"): "chat.completion",
@@ -194,24 +197,24 @@
 
 
 class EventWriter:
-    """Turns deliveries into server-sent events, each with a resume handle.
+    """Encodes deliveries as server-sent events, each with a resume handle.
 
     Args:
-        shape: The API's flavour.
+        answer_format: Renders the events.
         signer: Signs the handles.
-        binding: What the handles are bound to.
-        copy: The answer's copy at a peer, or None where none is kept.
+        binding: The workspace and body that the handles are bound to.
+        copy: The answer's copy at a peer, or None for no copy.
     """
 
     def __init__(
         self,
         *,
-        shape: AnswerFormat,
+        answer_format: AnswerFormat,
         signer: HandleSigner,
         binding: bytes,
         copy: CopiedStream | None = None,
     ) -> None:
-        self._shape = shape
+        self._answer_format = answer_format
         self._signer = signer
         self._binding = binding
         self._copy = copy
@@ -221,19 +224,19 @@
         self._handles: HandleWriter | None = None
 
     def switch(self, generation: Generation, attempt: Attempt) -> None:
-        """Write the following events as a new attempt's."""
+        """Encode the following events as output of a new attempt."""
         self._attempt = attempt
-        self._before, self._after = self._shape.event_parts(generation.request)
+        self._before, self._after = self._answer_format.event_parts(generation.request)
         self._open_handles(generation.request, self._copy_host)
 
     def encode(self, generation: Generation, deliveries: list[Delivery]) -> bytes:
-        """Return the events of some deliveries, as they go on the wire."""
+        """Return the events of deliveries, as sent on the wire."""
         return b"".join(self._encode_one(generation, item) for item in deliveries)
 
     def _encode_one(self, generation: Generation, delivery: Delivery) -> bytes:
         handle = self._write_handle(generation, delivery)
         if delivery.finish_reason is not None:
-            data = self._shape.last_event(generation, delivery.text)
+            data = self._answer_format.last_event(generation, delivery.text)
             return b"id: %b\ndata: %b\n\ndata: [DONE]\n\n" % (handle, data)
         text = msgspec.json.encode(delivery.text)
         return b"id: %b\ndata: %b%b%b" % (handle, self._before, text, self._after)
@@ -246,7 +249,11 @@
         return handle.encode()
 
     def _find_tail_start(self, generation: Generation, position: int) -> int:
-        """Return from where a handle carries token ids, and name their copy."""
+        """Return the position from which a handle carries token ids.
+
+        If the copy has become usable or unusable, this handle and later ones name it or
+        leave it out.
+        """
         if self._copy is None:
             return position
         start = self._copy.tail_start(position)
@@ -293,5 +300,5 @@
     return ""
 
 
-def _bad(code: Code, message: str) -> RefusedError:
+def _bad_request(code: Code, message: str) -> RefusedError:
     return refuse(code, message, status=400, step="parse")
--- a/passtally/completion_handler.py
+++ b/passtally/completion_handler.py
@@ -1,4 +1,4 @@
-"""Serves the completion API: streamed, whole, and going on after a loss."""
+"""Serves the completion API: streamed and buffered answers, resumes and jobs."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -38,26 +38,28 @@
 PREFER_HEADER = "Prefer"
 RESPOND_ASYNC = "respond-async"
 FAILED_JOB_STATUS = 500
-#: Attempts of a job's new host are numbered behind all of the last one's.
-ATTEMPTS_A_TAKEOVER = 1000
+#: Difference between the first attempt numbers of successive hosts of a job, so that
+#: each attempt of a new host has a higher number than those of the previous host.
+ATTEMPTS_PER_TAKEOVER = 1000
 CLIENT_RETRY = timedelta(milliseconds=200)
 
 
 class CompletionHandler:
-    """Handles both shapes of the completion API.
+    """Handles both flavours of the completion API.
 
     Args:
-        catalog: The configuration in force.
+        catalog: The active configuration.
         dispatcher: Runs generations.
-        signer: Signs and opens resume handles.
-        drain: Counts the requests that are open.
+        signer: Signs and verifies resume handles.
+        drain: Counts the open requests.
         copy_sender: Sends copies of running answers to peers.
         copies: Fetches copies from peers.
         gate: Admits requests.
-        host_id: This host's name.
+        host_id: The id of this host.
 
     Attributes:
-        jobs: The jobs; set once they are built.
+        jobs: The jobs of this host; set after construction, since they need the
+            handler's ``run_job``.
     """
 
     jobs: Jobs
@@ -88,11 +90,11 @@
         return await self._serve(request, Flavour.CHAT)
 
     async def collect(self, request: web.Request) -> web.Response:
-        """Serve ``GET /v1/generations/{id}``: a job's answer, once it is whole."""
+        """Serve ``GET /v1/generations/{id}``: a job's answer, once it is complete."""
         workspace = find_workspace(self._catalog, request)
         job = await self.jobs.collect(request.match_info["id"], workspace.id)
         if job.state is JobState.RUNNING:
-            return _answer_running(job.id)
+            return _running_response(job.id)
         status = 200 if job.state is JobState.DONE else FAILED_JOB_STATUS
         return web.Response(text=job.answer, status=status, content_type=JSON_TYPE)
 
@@ -100,7 +102,7 @@
         """Run a job and return the body of its answer.
 
         Raises:
-            RefusedError: It could not be run, or not to its end.
+            RefusedError: The job could not be run or could not be completed.
         """
         raw = job.body.encode()
         flavour = Flavour(job.flavour)
@@ -113,7 +115,7 @@
             body, flavour, workspace=workspace, service=service, generation_id=job.id
         )
         generation = Generation(
-            request=request, attempts_before=job.takeovers * ATTEMPTS_A_TAKEOVER
+            request=request, attempts_before=job.takeovers * ATTEMPTS_PER_TAKEOVER
         )
         admission = AdmissionRequest(
             id=job.id,
@@ -143,27 +145,27 @@
             return await self._submit(workspace, flavour, raw)
         binding = bind(workspace.id, raw)
         point = self._open_handle(request, binding)
-        shape = AnswerFormat(
+        answer_format = AnswerFormat(
             flavour=flavour,
             include_usage=bool(
                 body.stream_options and body.stream_options.include_usage
             ),
         )
         generation = build_generation(body, flavour, workspace, service, point)
-        work = _Work(
+        parsed = _ParsedRequest(
             generation=generation,
             admission=read_admission(
                 request, workspace, service, request_id=generation.request.id
             ),
-            shape=shape,
+            answer_format=answer_format,
             service=service,
             binding=binding,
             point=point,
         )
         with self._drain.track():
             if body.stream:
-                return await self._stream(request, work)
-            return await self._answer_whole(request, work)
+                return await self._stream(request, parsed)
+            return await self._send_buffered(request, parsed)
 
     def _find_model(self, workspace: Workspace, body: CompletionBody) -> Service:
         service = find_service(
@@ -184,7 +186,7 @@
             holder=self._host_id,
         )
         await self.jobs.submit(job)
-        return _answer_running(job.id)
+        return _running_response(job.id)
 
     def _open_handle(self, request: web.Request, binding: bytes) -> ResumePoint | None:
         handle = request.headers.get(RESUME_HEADER)
@@ -197,41 +199,54 @@
                 Code.BAD_RESUME_HANDLE, f"{error}.", status=400, step="resume"
             ) from error
 
-    async def _stream(self, request: web.Request, work: "_Work") -> web.StreamResponse:
+    async def _stream(
+        self, request: web.Request, parsed: "_ParsedRequest"
+    ) -> web.StreamResponse:
         copy = None
-        if work.service.protection is Protection.COPY:
-            copy = self._copy_sender.open(work.generation)
+        if parsed.service.protection is Protection.COPY:
+            copy = self._copy_sender.open(parsed.generation)
         writer = EventWriter(
-            shape=work.shape, signer=self._signer, binding=work.binding, copy=copy
+            answer_format=parsed.answer_format,
+            signer=self._signer,
+            binding=parsed.binding,
+            copy=copy,
         )
         sink = EventSink(request=request, writer=writer)
         try:
-            await self._dispatch(work, sink)
+            await self._dispatch(parsed, sink)
         except RefusedError as error:
             if sink.response is None:
                 raise
             await sink.fail(error)
         except ConnectionError:
-            log_event("api", "Caller left.", request=work.generation.request.id)
+            log_event(
+                "api",
+                "Caller closed the connection.",
+                request=parsed.generation.request.id,
+            )
         finally:
             if copy is not None:
                 self._copy_sender.close(copy)
         return sink.response or web.Response()
 
-    async def _answer_whole(self, request: web.Request, work: "_Work") -> web.Response:
+    async def _send_buffered(
+        self, request: web.Request, parsed: "_ParsedRequest"
+    ) -> web.Response:
         sink = BufferedSink(request=request)
-        await self._dispatch(work, sink)
+        await self._dispatch(parsed, sink)
         return web.Response(
-            body=work.shape.render_answer(work.generation, "".join(sink.texts)),
+            body=parsed.answer_format.render_answer(
+                parsed.generation, "".join(sink.texts)
+            ),
             content_type=JSON_TYPE,
-            headers={GENERATION_HEADER: work.generation.request.id},
+            headers={GENERATION_HEADER: parsed.generation.request.id},
         )
 
-    async def _dispatch(self, work: "_Work", sink: Sink) -> None:
-        point = work.point
+    async def _dispatch(self, parsed: "_ParsedRequest", sink: Sink) -> None:
+        point = parsed.point
         if point is None:
-            async with self._gate.enter(work.service.id, work.admission):
-                await self._dispatcher.run(work.generation, sink)
+            async with self._gate.enter(parsed.service.id, parsed.admission):
+                await self._dispatcher.run(parsed.generation, sink)
             return
 
         async def recover() -> Sequence[int] | None:
@@ -243,17 +258,17 @@
             )
 
         await self._dispatcher.run(
-            work.generation, sink, held_by=point.stream.endpoint_id, recover=recover
+            parsed.generation, sink, held_by=point.stream.endpoint_id, recover=recover
         )
 
 
 @attrs.frozen(kw_only=True)
-class _Work:
-    """One request that was read and admitted."""
+class _ParsedRequest:
+    """A parsed request with its generation and its parameters for the gate."""
 
     generation: Generation
     admission: AdmissionRequest
-    shape: AnswerFormat
+    answer_format: AnswerFormat
     service: Service
     binding: bytes
     point: ResumePoint | None
@@ -264,7 +279,7 @@
 
     Args:
         request: The caller's request.
-        writer: Turns output into events.
+        writer: Encodes output as events.
     """
 
     def __init__(self, *, request: web.Request, writer: EventWriter) -> None:
@@ -274,18 +289,18 @@
         self._generation: Generation | None = None
 
     def switch(self, generation: Generation, attempt: Attempt) -> None:
-        """Learn of a new attempt before its first output."""
+        """Switch to a new attempt, before its first output."""
         self._generation = generation
         self._writer.switch(generation, attempt)
 
     async def write(self, deliveries: list[Delivery]) -> None:
-        """Send new output; returns when the caller has room for more."""
+        """Send new output, and return when the connection accepts more."""
         if self.response is None:
             self.response = await self._open()
         await self.response.write(self._writer.encode(self._generation, deliveries))
 
     async def fail(self, error: RefusedError) -> None:
-        """End the stream with an honest error event."""
+        """End the stream with an error event."""
         data = error.failure.to_json()
         await self.response.write(b"event: error\ndata: %b\n\n" % data)
 
@@ -304,10 +319,10 @@
 
 
 class BufferedSink:
-    """Gathers an answer that is sent in one piece.
+    """Buffers an answer that is not streamed.
 
     Args:
-        request: The caller's request, to see that the caller is still there.
+        request: The caller's request; its connection shows whether the caller left.
     """
 
     def __init__(self, *, request: web.Request) -> None:
@@ -315,31 +330,35 @@
         self._request = request
 
     def switch(self, generation: Generation, attempt: Attempt) -> None:
-        """Learn of a new attempt; nothing depends on it here."""
+        """Ignore a new attempt: the texts do not depend on it."""
 
     async def write(self, deliveries: list[Delivery]) -> None:
-        """Take new output."""
+        """Append new output.
+
+        Raises:
+            ConnectionError: The caller left.
+        """
         transport = self._request.transport
         if transport is None or transport.is_closing():
-            raise ConnectionResetError("the caller left")
+            raise ConnectionResetError("the caller closed the connection")
         self.texts.extend(delivery.text for delivery in deliveries)
 
 
 class JobSink:
-    """Gathers a job's answer; nobody waits for it."""
+    """Buffers the answer of a job, for which no caller waits on a connection."""
 
     def __init__(self) -> None:
         self.texts: list[str] = []
 
     def switch(self, generation: Generation, attempt: Attempt) -> None:
-        """Learn of a new attempt; nothing depends on it here."""
+        """Ignore a new attempt: the texts do not depend on it."""
 
     async def write(self, deliveries: list[Delivery]) -> None:
-        """Take new output."""
+        """Append new output."""
         self.texts.extend(delivery.text for delivery in deliveries)
 
 
-def _answer_running(job_id: str) -> web.Response:
+def _running_response(job_id: str) -> web.Response:
     return web.json_response(
         {"id": job_id, "status": "running"},
         status=202,
@@ -366,7 +385,7 @@
     service: Service,
     point: ResumePoint | None,
 ) -> Generation:
-    """Return the generation of a request, new or going on from a point."""
+    """Return the generation of a request, new or resumed from a point."""
     request = build_request(body, flavour, workspace=workspace, service=service)
     if point is None:
         return Generation(request=request)
--- a/passtally/dispatcher.py
+++ b/passtally/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries one generation from endpoint to endpoint until its answer is whole."""
+"""Runs a generation, failing over between endpoints until its answer is complete."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -38,16 +38,18 @@
 )
 from passtally.retry_budget import Budgets, acquire_retry, wait_for_retry
 
-#: How long a stream is left with its engine for a caller to reconnect.
+#: Delay before the stream of a caller that left is cancelled at its engine, so that
+#: the caller can reconnect.
 LINGER = timedelta(seconds=2)
 RETRY_AFTER = timedelta(seconds=1)
 RESET = LossKind.RESET
-TOOK_DOWN_TOO_MANY = "took down too many endpoints"
-#: Callers give a stream up after the longest of these gaps: so much, so many times its
-#: target, or so many times the longest pause that still keeps an answer in time.
+CRASHED_TOO_MANY = "it crashed too many endpoints"
+#: A caller is expected to give up a silent stream after the longest of this time,
+#: ``GIVE_UP_TARGET_FACTOR`` times its target for the first output, and
+#: ``GIVE_UP_GAP_FACTOR`` times the maximum gap that it allows between outputs.
 MIN_GIVE_UP = timedelta(seconds=2)
-GIVE_UP_TARGETS = 4
-GIVE_UP_PAUSES = 8
+GIVE_UP_TARGET_FACTOR = 4
+GIVE_UP_GAP_FACTOR = 8
 
 
 Recovery = Callable[[], Awaitable[Sequence[int] | None]]
@@ -55,23 +57,24 @@
 
 @attrs.define(kw_only=True)
 class _Progress:
-    """What the losses of one generation on this host add up to.
+    """The state of one generation on this host, over all its attempts.
 
     Attributes:
-        unreached: The attempts that reached no endpoint.
-        excluded: The endpoints that lost it.
-        reached: Whether it may have run somewhere.
-        first_at: When its first output came.
-        waiting_since: Since when its caller waits for an attempt's first output.
-        last_output_at: When its last output came, or when it began.
-        has_retry: Whether the repeat for its next loss is taken already.
-        last_error: How its last attempt was lost.
+        unreached_attempts: Number of attempts that did not reach their endpoint.
+        excluded: Ids of the endpoints that lost an attempt, excluded from placement.
+        may_have_run: Whether the generation may have run at an endpoint.
+        first_output_at: Time of the answer's first output, if sent by this host.
+        waiting_since: Time from which the caller has waited for the first output of
+            the current attempt.
+        last_output_at: Time of the last output, or of the start before any output.
+        has_retry: Whether the retry for the next loss is acquired already.
+        last_error: The error of the last lost attempt.
     """
 
-    unreached: int = 0
+    unreached_attempts: int = 0
     excluded: set[str] = attrs.field(factory=set)
-    reached: bool = False
-    first_at: timedelta | None = None
+    may_have_run: bool = False
+    first_output_at: timedelta | None = None
     waiting_since: timedelta
     last_output_at: timedelta
     has_retry: bool = False
@@ -84,12 +87,13 @@
     Args:
         fleet: The endpoints.
         clock: The clock.
-        placement: Chooses endpoints, by the forecast that answers teach here.
-        limits: Where resuming ends.
-        budgets: How many repeats are left.
-        linger: How long a left stream stays with its engine.
-        metrics: Where metrics go.
-        guard: Refuses requests that end their endpoints; None for one of its own.
+        placement: Chooses endpoints; its forecast is updated from the answers.
+        limits: The limits on attempts.
+        budgets: The retry budgets.
+        linger: Delay before the stream of a caller that left is cancelled.
+        metrics: Records metrics.
+        guard: Refuses requests that crash their endpoints; None for a new guard with
+            its own quarantine.
     """
 
     def __init__(
@@ -123,22 +127,22 @@
         held_by: str = "",
         recover: Recovery | None = None,
     ) -> None:
-        """Run a generation to its end.
+        """Run a generation until its answer is complete.
 
         Args:
-            generation: What to run.
-            sink: Where its output goes.
-            held_by: The endpoint that may still hold its stream, if any.
-            recover: Fetches the tokens that its caller already has, for an answer
-                taken up here whose engine turns out to be gone too.
+            generation: The generation to run.
+            sink: Receives the output.
+            held_by: The endpoint that may still have the generation's stream, if any.
+            recover: Fetches the tokens that the caller already has. Needed for an
+                answer that began on another host and whose engine is lost too.
 
         Raises:
-            RefusedError: It could not be run, or not to its end.
+            RefusedError: The generation could not be run or could not be completed.
             ConnectionError: The caller left.
         """
         now = self._clock.monotonic()
         progress = _Progress(
-            reached=bool(held_by), waiting_since=now, last_output_at=now
+            may_have_run=bool(held_by), waiting_since=now, last_output_at=now
         )
         step = NextStep.ATTACH if held_by else NextStep.RESUME
         endpoint_id = held_by
@@ -153,10 +157,11 @@
                 await self._recover_tokens(generation, recover, progress)
                 endpoint_id = await self._place(generation, progress)
             if self._is_quarantined(generation):
-                raise self._give_up(generation, progress, TOOK_DOWN_TOO_MANY)
+                raise self._give_up(generation, progress, CRASHED_TOO_MANY)
             live = self._fleet.find(endpoint_id)
             if live is None or not self._fleet.try_send(live):
-                # Taken up elsewhere: also a replica is out of reach at its limit.
+                # The endpoint was removed, or rejects requests now by its limit or
+                # back-off. Resume at another, even if this one has the stream's state.
                 step, resume_ref = NextStep.RESUME, ""
                 continue
             attempt = generation.start_attempt(
@@ -208,7 +213,7 @@
             clock=self._clock,
             replica=self._fleet.find(attempt.replica_id),
             load_changed=self._fleet.load_changed.set,
-            on_first=lambda: self._time_first(generation, progress, live),
+            on_first=lambda: self._record_first_output(generation, progress, live),
             first_limit=partial(self._forecast.first_limit, generation.request.service),
             may_fail_over=partial(
                 self._may_fail_over, generation, attempt, live, progress
@@ -228,7 +233,9 @@
             async with keeper:
                 await relay.run(attach=attach)
         except AttemptLostError as loss:
-            progress.reached = progress.reached or loss.kind not in UNRUN_KINDS
+            progress.may_have_run = (
+                progress.may_have_run or loss.kind not in UNRUN_KINDS
+            )
             progress.last_output_at = relay.last_output_at or progress.last_output_at
             self._record_failure(generation, live, loss, has_begun=relay.has_begun)
             raise
@@ -242,7 +249,7 @@
     async def _recover_tokens(
         self, generation: Generation, recover: Recovery | None, progress: _Progress
     ) -> None:
-        """Take in the tokens that the caller has, where this host lacks them."""
+        """Fetch the tokens that the caller has if this host lacks them."""
         if recover is None or generation.position >= generation.delivered:
             return
         token_ids = await recover()
@@ -254,13 +261,16 @@
             raise self._give_up(generation, progress, str(error)) from error
 
     async def _place(self, generation: Generation, progress: _Progress) -> str:
-        """Choose where the next attempt runs.
+        """Return the id of the endpoint for the next attempt.
 
         Raises:
-            RefusedError: It can't go on here, or there is no endpoint for it.
+            RefusedError: This host lacks tokens that the caller has, or no endpoint
+                can be chosen.
         """
         if generation.position < generation.delivered:
-            raise self._give_up(generation, progress, "its tokens are not held here")
+            raise self._give_up(
+                generation, progress, "its delivered tokens are not on this host"
+            )
         try:
             return await self._placement.place(generation, progress.excluded)
         except NoPlaceError as error:
@@ -279,13 +289,13 @@
         progress.waiting_since = self._clock.monotonic()
         self._metrics.count(Metric.LOST, loss.kind)
         was_attached = loss.step == "attach"
-        gone = is_endpoint_unreachable(loss.kind, was_attached=was_attached)
-        if gone:
+        is_unreachable = is_endpoint_unreachable(loss.kind, was_attached=was_attached)
+        if is_unreachable:
             live.eject(self._clock.monotonic())
         elif loss.kind is RESET and not live.engine.keeps_streams:
             await self._record_end(generation, attempt, live)
-        if gone or loss.kind is RESET:
-            self._fleet.record_loss(live, is_endpoint_unreachable=gone)
+        if is_unreachable or loss.kind is RESET:
+            self._fleet.record_loss(live, is_endpoint_unreachable=is_unreachable)
         if loss.kind is LossKind.REPLACED:
             self._fleet.record_replaced(live, loss.successor)
         if live.engine.keeps_streams and is_endpoint_dead(
@@ -298,21 +308,21 @@
         if loss.kind in (LossKind.FROZEN, LossKind.RESUME_MISMATCH):
             self._cancel(live, generation, attempt)
         is_unreached = loss.kind is LossKind.UNREACHABLE
-        progress.unreached += is_unreached
+        progress.unreached_attempts += is_unreached
         decision = decide_after_loss(
             loss.kind,
-            attempts=generation.attempt_count - progress.unreached,
+            attempts=generation.attempt_count - progress.unreached_attempts,
             was_attached=was_attached,
             limits=_limits_of(generation, self._limits),
             holder=holder,
         )
         if self._is_quarantined(generation):
-            decision = RetryDecision(step=NextStep.GIVE_UP, reason=TOOK_DOWN_TOO_MANY)
+            decision = RetryDecision(step=NextStep.GIVE_UP, reason=CRASHED_TOO_MANY)
         if decision.step is not NextStep.GIVE_UP and not (
             is_unreached or await self._acquire_retry(generation, progress, loss.kind)
         ):
             decision = RetryDecision(
-                step=NextStep.GIVE_UP, reason="the retry budget is spent"
+                step=NextStep.GIVE_UP, reason="the retry budget is exhausted"
             )
         log_decision(
             "retry",
@@ -332,7 +342,7 @@
     async def _record_end(
         self, generation: Generation, attempt: Attempt, live: LiveEndpoint
     ) -> None:
-        """Look whether an endpoint that broke an attempt off has ended under it."""
+        """Record the crash of an endpoint that reset an attempt, if it has exited."""
         if not self._fleet.is_serving(live) or not await self._guard.has_ended(live):
             return
         self._fleet.record_end(live)
@@ -351,7 +361,7 @@
         *,
         has_begun: bool,
     ) -> None:
-        """Count an attempt that failed after it may have run."""
+        """Count a failed answer of the endpoint's version, if it may have run."""
         if loss.kind in UNRUN_KINDS:
             return
         self._fleet.versions.record_answer(
@@ -361,7 +371,7 @@
             failures=1,
         )
 
-    def _time_first(
+    def _record_first_output(
         self, generation: Generation, progress: _Progress, live: LiveEndpoint
     ) -> None:
         """Record how long the caller waited for an attempt's first output."""
@@ -378,12 +388,15 @@
             self._metrics.time(Metric.RESUME, waited)
             return
         self._metrics.time(Metric.FIRST_TOKEN, waited)
-        progress.first_at = now
+        progress.first_output_at = now
         tokens = count_prefill_tokens(generation)
         self._forecast.record_first(generation.request.service, tokens, waited)
 
     def _release_retry(self, generation: Generation, progress: _Progress) -> None:
-        """Leave a repeat that was taken ahead to others: its endpoint was heard."""
+        """Release a retry that was acquired in advance and is not needed.
+
+        The silent endpoint has sent output after all, or the caller left.
+        """
         if progress.has_retry:
             progress.has_retry = False
             self._budgets.release(service=generation.request.service)
@@ -391,17 +404,17 @@
     def _record_completion(
         self, generation: Generation, progress: _Progress, live: LiveEndpoint
     ) -> None:
-        """Learn how long answers are, and last, from one that began here."""
-        if progress.first_at is None:
+        """Record the length and duration of an answer that began on this host."""
+        if progress.first_output_at is None:
             return
-        lasted = self._clock.monotonic() - progress.first_at
+        duration = self._clock.monotonic() - progress.first_output_at
         service = generation.request.service
-        self._forecast.record_completion(service, generation.position, lasted)
+        self._forecast.record_completion(service, generation.position, duration)
         if len(generation.attempts) == 1:
             self._fleet.versions.record_answer(
                 live.endpoint,
                 route=f"{generation.request.route} pace",
-                took=lasted / max(generation.position, 1),
+                took=duration / max(generation.position, 1),
             )
 
     async def _may_fail_over(
@@ -412,17 +425,18 @@
         progress: _Progress,
         kind: LossKind,
     ) -> bool:
-        """Return whether an answer may go on elsewhere than at a silent endpoint.
+        """Return whether an answer may fail over from a silent endpoint.
 
-        The repeat for that is taken here, before the endpoint is given up: without one
-        the answer would be broken off, though it may still come. Where nothing tells
-        how long a caller waits, none is kept waiting.
+        The retry is acquired here, before the attempt is aborted: if the budget turned
+        out to be exhausted afterwards, an answer would be lost whose output may still
+        arrive. A request without a deadline always fails over, since nothing states
+        how long its caller waits.
         """
         if generation.request.deadline is None:
             return True
         decision = decide_after_loss(
             kind,
-            attempts=generation.attempt_count - progress.unreached,
+            attempts=generation.attempt_count - progress.unreached_attempts,
             was_attached=False,
             limits=_limits_of(generation, self._limits),
             holder=_find_holder(generation, attempt, live),
@@ -443,21 +457,22 @@
     async def _acquire_retry(
         self, generation: Generation, progress: _Progress, kind: LossKind
     ) -> bool:
-        """Take the repeat for a loss; an answer that has begun waits for one.
+        """Acquire the retry for a loss, and return whether there is one.
 
-        Each request earns a part of one, here and at the hosts that lend.
+        An answer that has begun waits while the budget is exhausted: each new request
+        earns a fraction of a retry, on this host and on the hosts that lend retries.
         """
         if progress.has_retry:
             progress.has_retry = False
             return True
         until = progress.last_output_at
         if generation.delivered and generation.request.deadline is not None:
-            until += _longest_wait(generation.request, kind)
-        take = partial(self._may_retry, generation)
-        return await wait_for_retry(take, clock=self._clock, until=until)
+            until += _max_retry_wait(generation.request, kind)
+        acquire = partial(self._may_retry, generation)
+        return await wait_for_retry(acquire, clock=self._clock, until=until)
 
     async def _may_retry(self, generation: Generation) -> bool:
-        """Take a repeat, or a resume, from the budget, or from other hosts'."""
+        """Acquire a retry or resume from the local budget or those of other hosts."""
         request = generation.request
         return await acquire_retry(
             self._budgets,
@@ -471,19 +486,19 @@
     ) -> RefusedError:
         generation.refuse()
         request = generation.request
-        held_for = self._guard.remaining(request.fingerprint)
-        if held_for is not None and not progress.reached:
-            return quarantine_error(request.service, held_for)
+        quarantine_remaining = self._guard.remaining(request.fingerprint)
+        if quarantine_remaining is not None and not progress.may_have_run:
+            return quarantine_error(request.service, quarantine_remaining)
         begun = generation.delivered > 0
-        ran = progress.reached or begun
+        ran = progress.may_have_run or begun
         return refuse(
             Code.RESUME_IMPOSSIBLE if begun else Code.NO_ENDPOINT,
             f"No endpoint can take this request: {reason}.",
-            status=502 if progress.reached else 503,
+            status=502 if progress.may_have_run else 503,
             step="resume" if begun else "route",
             peer=progress.last_error.peer if progress.last_error else request.service,
             outcome=Outcome.UNKNOWN if ran else Outcome.NOT_RUN,
-            retry_after=held_for
+            retry_after=quarantine_remaining
             or self._fleet.time_until_capacity(request.service)
             or RETRY_AFTER,
             position=generation.delivered if begun else None,
@@ -504,7 +519,7 @@
         *,
         after: timedelta = timedelta(0),
     ) -> None:
-        """Cancel an attempt in the background. A newer attempt is not touched."""
+        """Cancel an attempt in the background, but no newer attempt."""
 
         async def cancel() -> None:
             await self._clock.sleep(after)
@@ -518,10 +533,10 @@
 def _find_holder(
     generation: Generation, attempt: Attempt, live: LiveEndpoint
 ) -> Holder:
-    """Return what may have the state of a lost attempt.
+    """Return what may still have the state of a lost attempt.
 
-    A replica is of use only once the answer has begun: before that it may not
-    hold the whole prompt.
+    A replica is used only once the answer has begun: before that it may not contain
+    the complete prompt.
     """
     if attempt.replica_id and generation.delivered:
         return Holder.REPLICA
@@ -529,20 +544,23 @@
 
 
 def _limits_of(generation: Generation, limits: RetryLimits) -> RetryLimits:
-    """Return the limits for one generation, which may have its own."""
+    """Return the limits for one generation, whose request may set its own."""
     own = generation.request.max_attempts
     return limits if own is None else attrs.evolve(limits, max_attempts=own)
 
 
-def _longest_wait(request: GenerationRequest, kind: LossKind) -> timedelta:
-    """Return how long after its last output an answer may wait for a repeat.
+def _max_retry_wait(request: GenerationRequest, kind: LossKind) -> timedelta:
+    """Return how long after its last output an answer may wait for a retry.
 
-    One whose endpoint broke it off waits while the pause is in time: after that its
-    caller is better off at another host, as soon as it hears of it. One that this host
-    took from its endpoint waits as long as its caller.
+    An answer whose connection was reset waits only for the maximum gap that its caller
+    allows: after that the caller should learn of the failure at once and resume at
+    another host. An answer that this host took from a silent endpoint waits until its
+    caller is expected to give up.
     """
     max_gap = request.max_gap or timedelta(0)
     if kind is RESET:
         return max_gap
     target = request.target or timedelta(0)
-    return max(MIN_GIVE_UP, GIVE_UP_TARGETS * target, GIVE_UP_PAUSES * max_gap)
+    return max(
+        MIN_GIVE_UP, GIVE_UP_TARGET_FACTOR * target, GIVE_UP_GAP_FACTOR * max_gap
+    )
--- a/passtally/engine.py
+++ b/passtally/engine.py
@@ -1,4 +1,4 @@
-"""What a model engine does, and how an attempt at one is lost."""
+"""The interface of model engines, and the error for a lost attempt."""
 
 from collections.abc import Collection, Sequence
 from typing import Protocol
@@ -10,14 +10,15 @@
 
 
 class AttemptLostError(Exception):
-    """An attempt that can't go on.
+    """An attempt that can't continue.
 
     Args:
         kind: How it was lost.
-        step: The step at which it was: ``connect``, ``stream`` or ``attach``.
-        peer: The endpoint.
-        detail: What was seen.
-        successor: The endpoint that has the address now, where it was replaced.
+        step: The step at which it was lost, such as ``connect``, ``stream`` or
+            ``attach``.
+        peer: The endpoint's id.
+        detail: The underlying error, as text.
+        successor: The endpoint that has the address now, if the endpoint was replaced.
     """
 
     def __init__(
@@ -38,13 +39,13 @@
 
 
 class LoadReport(msgspec.Struct):
-    """What an engine says of itself; it lags.
+    """The load that an engine reports. The report lags behind the engine's state.
 
     Attributes:
-        running: Streams in the batch.
-        queued: Streams that wait.
-        step: Counts the engine's decoding steps.
-        draining: Whether the engine itself says that it is leaving.
+        running: Number of streams in the batch.
+        queued: Number of streams that wait for the batch.
+        step: Number of decoding steps so far.
+        draining: Whether the engine reports that it is leaving.
     """
 
     running: int
@@ -63,22 +64,22 @@
     report: LoadReport | None
 
     async def read(self) -> list[TokenEvent]:
-        """Return the events that arrived together; none once it has ended.
+        """Return the next events that arrived together; empty after the last event.
 
         Raises:
-            AttemptLostError: It can't go on.
+            AttemptLostError: The attempt can't continue.
         """
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
 
 
 class Engine(Protocol):
     """One model endpoint.
 
     Attributes:
-        reports_load: Whether a probe brings a load report.
-        keeps_streams: Whether it keeps a stream whose connection broke.
+        reports_load: Whether a probe returns a load report.
+        keeps_streams: Whether the engine keeps a stream after its connection broke.
     """
 
     reports_load: bool
@@ -87,65 +88,66 @@
     async def generate(
         self, request: GenerationRequest, attempt: Attempt, prior: Sequence[int]
     ) -> TokenStream:
-        """Run a request, going on after the prior token ids.
+        """Run a request, continuing after the prior token ids.
 
         Raises:
-            AttemptLostError: It was not taken.
+            AttemptLostError: The engine did not accept the request.
         """
 
     async def attach(
         self, request: GenerationRequest, attempt: Attempt, *, position: int
     ) -> TokenStream:
-        """Take up a stream that the engine still holds, from a position.
+        """Attach to a stream that the engine still has, from a position.
 
         Raises:
-            AttemptLostError: The engine or its stream is gone.
+            AttemptLostError: The engine is unreachable or no longer has the stream.
         """
 
     async def cancel(self, generation_id: str, attempt: int) -> None:
-        """Ask it to drop an attempt; it may not hear."""
+        """Ask the engine to cancel an attempt; the request may get lost."""
 
     async def copy_run(self, generation_id: str, target: str) -> str:
-        """Copy a run's state to another endpoint; the run goes on.
+        """Copy a run's state to another endpoint, while the run continues.
 
         Args:
             generation_id: The generation that runs.
             target: The other endpoint's id.
 
         Returns:
-            What names the replica.
+            The identifier of the replica.
 
         Raises:
-            AttemptLostError: It was not copied.
+            AttemptLostError: The state was not copied.
         """
 
     async def drop_copy(self, replica_ref: str, target: str) -> None:
-        """Let go of a copy at another endpoint; it may not hear."""
+        """Release a replica at another endpoint; the request may get lost."""
 
     async def probe(self) -> LoadReport | None:
-        """Return its load report, or None where none came in time."""
+        """Return the engine's load report, or None if none arrives in time."""
 
     async def count_waiting(self) -> int:
-        """Return how many runs there have no output yet, all hosts' together.
+        """Return the number of runs without output at the endpoint, of all hosts.
 
-        The number may be some hundred milliseconds old.
+        The number may be a few hundred milliseconds old.
 
         Raises:
-            AttemptLostError: None came in time, or the endpoint has ended.
+            AttemptLostError: No answer arrived in time, or the endpoint has exited.
         """
 
     async def list_cached_prompts(self) -> Collection[str]:
-        """Return what names the prompts that its memory keeps, as far as it tells.
+        """Return the identifiers of the cached prompts that the engine reports.
 
         Raises:
-            AttemptLostError: No answer came in time.
+            AttemptLostError: No answer arrived in time.
         """
 
     async def is_reachable(self) -> bool:
-        """Return whether it takes a connection; asked of engines without reports."""
+        """Return whether a connection can be opened, for engines without reports."""
 
     async def has_ended(self) -> bool:
-        """Return whether it is seen to have ended: its address takes no connections.
+        """Return whether the endpoint has exited: its address refuses connections.
 
-        Not one that does not answer: it may be cut off, or only silent.
+        An endpoint that does not answer has not exited for certain: it may be
+        unreachable or silent.
         """
--- a/passtally/generation.py
+++ b/passtally/generation.py
@@ -1,8 +1,8 @@
-"""One generation: its attempts, and the seams between them.
+"""The state of one generation, whose answer is assembled from its attempts.
 
-Pure: it reads no clock and does no I/O. Positions count token ids from the
-start of the answer, so that a resumed attempt is joined on exactly, also where
-a token is half a character or a stop sequence spans the seam.
+This module reads no clock and does no I/O. Positions count token ids from the start
+of the answer, so that a resumed attempt continues at the right token, even if a token
+is half a character or a stop sequence spans two attempts.
 """
 
 from array import array
@@ -17,17 +17,17 @@
 
 
 class ResumeMismatchError(Exception):
-    """An attempt sent tokens that do not join on to what was delivered."""
+    """An attempt sent output that does not continue the answer so far."""
 
 
 @attrs.frozen(kw_only=True)
 class RawCall:
-    """A request whose content is not read, only handed on as it came.
+    """A request that is forwarded without parsing its content.
 
     Attributes:
         method: The HTTP method.
         target: The path and query, byte for byte.
-        headers: The headers to hand on.
+        headers: The headers to forward.
         body: The body.
     """
 
@@ -39,34 +39,35 @@
 
 @attrs.frozen(kw_only=True)
 class GenerationRequest:
-    """What a caller asked for.
+    """A caller's request and its limits, the same for all attempts.
 
     Attributes:
         id: The generation's id.
-        workspace: Whose it is.
-        service: The service it names.
+        workspace: The id of the caller's workspace.
+        service: The id of the service.
         model: The model's name at the engines.
         version: The model's version, pinned for the whole answer.
         adapter: The adapter's name, or empty.
-        prompt: The prompt's text; what names its last part, where the text is
-            not read.
-        max_tokens: The length at which it ends, over all attempts.
+        prompt: The prompt's text; an identifier of its last part if the text is not
+            parsed.
+        max_tokens: The maximum length of the answer in tokens, over all attempts.
         temperature: The sampling temperature.
         seed: The sampling seed, the same for all attempts.
         stop: Strings that end the answer.
         priority: The engine's priority; lower goes first.
-        failure_domain: Where it is to run if it can; empty for the host's own.
-        prompt_tokens: The prompt's length; 0 where it is not known.
-        max_attempts: The dispatches it may have, where it has a limit of its own.
-        deadline: When its caller stops waiting, on the monotonic clock.
-        patience: How long it may wait for an endpoint before it has begun.
-        target: Within what time its first output is to come, if it is known.
-        max_gap: The longest pause between two outputs that its caller allows, if it
-            is known.
-        raw: What to hand on, where the content is not read.
+        failure_domain: The preferred failure domain; empty for that of the host.
+        prompt_tokens: The prompt's length in tokens; 0 if unknown.
+        max_attempts: The maximum number of dispatches; None for the limit of the host.
+        deadline: The time on the monotonic clock at which the caller stops waiting;
+            None if unknown.
+        patience: The maximum wait for an endpoint before the answer has begun.
+        target: The time within which the first output is expected; None if unknown.
+        max_gap: The maximum gap between two outputs that the caller allows; None if
+            unknown.
+        raw: The request to forward if its content is not parsed.
         route: The route that led to the service, or empty.
-        fingerprint: What its later tries have in common with it, see
-            :func:`passtally.fingerprint.fingerprint_of`; empty where it has none.
+        fingerprint: The same for all tries of one request by its caller, see
+            :func:`passtally.fingerprint.fingerprint_of`; empty for no fingerprint.
     """
 
     id: str
@@ -94,16 +95,16 @@
 
 
 class TokenEvent(msgspec.Struct, kw_only=True):
-    """What an engine sent in one event, as it came off the wire.
+    """One event of an engine's output, as received on the wire.
 
     Attributes:
         position: The position of its first token.
-        token_ids: Its tokens; may be empty on the last event.
-        text_offset: Where its text starts, in characters of the answer.
-        text: What the tokens added to the text; a half character adds nothing.
+        token_ids: Its token ids; may be empty on the last event.
+        text_offset: The start of its text, in characters of the answer.
+        text: The text that the tokens add; half a character adds nothing.
         finish_reason: Why the answer ended, on the last event only.
-        prompt_tokens: The prompt's length, on the last event only.
-        payload: The event's bytes, where its content is not read; it then counts
+        prompt_tokens: The prompt's length in tokens, on the last event only.
+        payload: The event's bytes if its content is not parsed; the event then counts
             as one token.
     """
 
@@ -123,8 +124,8 @@
         position: The number of tokens delivered, this output included.
         characters: The number of characters delivered, this output included.
         text: The new text.
-        finish_reason: Why the answer ended, or None while it goes on.
-        payload: The bytes to pass on, where the content is not read.
+        finish_reason: Why the answer ended, or None before its end.
+        payload: The bytes to forward if the content is not parsed.
     """
 
     position: int
@@ -139,16 +140,17 @@
     """One dispatch of a generation to an endpoint.
 
     Attributes:
-        number: Counts the dispatches from 1.
-        endpoint_id: Where it runs.
-        start_position: The position it went on from.
-        replica_id: The endpoint that keeps a replica of its state, or empty.
-        replica_ref: What names that replica to the endpoint, or empty.
-        resume_ref: What names the replica that it goes on from, or empty.
-        dropped_tokens: Tokens it sent that were already there, or too late.
-        head: The head of the endpoint's answer, where it is passed on.
-        begun_at: When its endpoint began to answer, on the monotonic clock; None
-            before that.
+        number: The number of the dispatch, counted from 1.
+        endpoint_id: The endpoint that runs the attempt.
+        start_position: The position that the attempt continues from.
+        replica_id: The endpoint that keeps a replica of the attempt's state, or empty.
+        replica_ref: The identifier of that replica at the endpoint, or empty.
+        resume_ref: The identifier of the replica that the attempt resumes, or empty.
+        dropped_tokens: Number of tokens that the attempt sent again or sent after it
+            was closed.
+        head: The head of the endpoint's answer, if it is forwarded.
+        begun_at: Time on the monotonic clock at which the endpoint began to answer;
+            None before that.
     """
 
     number: int
@@ -163,14 +165,14 @@
 
 
 class Generation:
-    """The answer to one request, joined from the output of its attempts.
+    """The answer to one request, assembled from the output of its attempts.
 
     Args:
-        request: What the caller asked for.
-        token_ids: Tokens that an earlier entry host already had.
-        delivered: How many of them the caller already has.
-        delivered_characters: How many characters of text the caller already has.
-        attempts_before: How many attempts earlier entry hosts made.
+        request: The caller's request.
+        token_ids: Token ids that an earlier entry host already received.
+        delivered: Number of tokens that the caller already has.
+        delivered_characters: Number of characters of text that the caller already has.
+        attempts_before: Number of attempts made by earlier entry hosts.
     """
 
     def __init__(
@@ -195,17 +197,17 @@
 
     @property
     def position(self) -> int:
-        """How many tokens are held; the next attempt goes on from here."""
+        """Number of tokens on this host; the next attempt continues from here."""
         return len(self.token_ids)
 
     @property
     def current(self) -> Attempt | None:
-        """The attempt whose tokens count, if one is open."""
+        """The open attempt, the only one whose output is accepted; None if none is."""
         return self._current
 
     @property
     def attempt_count(self) -> int:
-        """How many attempts were made, on this entry host and before."""
+        """Number of attempts made, on this entry host and on earlier ones."""
         return self._attempts_before + len(self.attempts)
 
     def start_attempt(
@@ -219,13 +221,13 @@
         """Open the next attempt.
 
         Args:
-            endpoint_id: Where it runs.
-            attach: Whether it takes up a stream that the endpoint still holds.
-            replica_id: The endpoint that is to keep a replica of its state, if any.
-            resume_ref: What names the replica that it goes on from, if any.
+            endpoint_id: The endpoint that runs it.
+            attach: Whether it attaches to a stream that the endpoint still has.
+            replica_id: The endpoint that is to keep a replica of its state, or empty.
+            resume_ref: The identifier of the replica that it resumes, or empty.
 
         Returns:
-            The attempt; from now on only its tokens count.
+            The attempt; from now on only its output is accepted.
         """
         self.machine.send("attach" if attach else "dispatch")
         attempt = Attempt(
@@ -240,33 +242,33 @@
         return attempt
 
     def lose_attempt(self, attempt: Attempt) -> None:
-        """Close an attempt that can't go on. One that is not current is ignored."""
+        """Close an attempt that can't continue. Ignore one that is not current."""
         if attempt is not self._current:
             return
         self._current = None
         self.machine.send("lose")
 
     def accept(self, attempt: Attempt, event: TokenEvent) -> Delivery | None:
-        """Join one event on.
+        """Append the output of one event to the answer.
 
         Args:
-            attempt: The attempt that sent it.
-            event: What the engine sent.
+            attempt: The attempt that sent the event.
+            event: The event.
 
         Returns:
-            What is new for the caller, or None where nothing is.
+            The new output for the caller, or None if there is none.
 
         Raises:
-            ResumeMismatchError: Tokens or text are missing before the event, or it
-                contradicts tokens that are already held.
+            ResumeMismatchError: Tokens or text before the event are missing, or its
+                tokens differ from those received before.
         """
         if attempt is not self._current:
             attempt.dropped_tokens += len(event.token_ids)
             return None
         if self.machine.state == "prefilling":
             self.machine.send("token")
-        self._join_tokens(attempt, event)
-        text = self._join_text(event)
+        self._append_tokens(attempt, event)
+        text = self._append_text(event)
         newly_delivered = self.position > self.delivered
         self.delivered = max(self.delivered, self.position)
         if event.finish_reason is not None:
@@ -282,34 +284,37 @@
         )
 
     def restore(self, token_ids: Sequence[int]) -> None:
-        """Take in the tokens that the caller has, from a copy.
+        """Set the tokens that the caller has, from a copy.
 
         Raises:
-            ResumeMismatchError: They are too few, or contradict tokens that are held.
+            ResumeMismatchError: The copy is too short, or its tokens differ from those
+                received before.
         """
-        held = self.position
-        if len(token_ids) < self.delivered or held > len(token_ids):
-            raise ResumeMismatchError(f"the copy ends at {len(token_ids)}")
-        if self.token_ids != array("I", token_ids[:held]):
-            raise ResumeMismatchError("the copy has other tokens")
+        position = self.position
+        if len(token_ids) < self.delivered or position > len(token_ids):
+            raise ResumeMismatchError(f"the copy ends at token {len(token_ids)}")
+        if self.token_ids != array("I", token_ids[:position]):
+            raise ResumeMismatchError("the copy has other tokens than this host")
         self.token_ids = array("I", token_ids)
 
     def refuse(self) -> None:
-        """End with an honest refusal."""
+        """End without a complete answer; the caller receives an error."""
         self._current = None
         self.machine.send("refuse")
 
     def abandon(self) -> None:
-        """End because the caller left, unless the answer is whole already."""
+        """End because the caller left, unless the generation has ended already."""
         self._current = None
         if not self.machine.is_final:
             self.machine.send("abandon")
 
-    def _join_tokens(self, attempt: Attempt, event: TokenEvent) -> None:
-        held = self.position
-        overlap = held - event.position
+    def _append_tokens(self, attempt: Attempt, event: TokenEvent) -> None:
+        position = self.position
+        overlap = position - event.position
         if overlap < 0:
-            raise ResumeMismatchError(f"tokens {held} to {event.position} are missing")
+            raise ResumeMismatchError(
+                f"tokens {position} to {event.position} are missing"
+            )
         if overlap == 0:
             self.token_ids.extend(event.token_ids)
             return
@@ -322,7 +327,7 @@
         attempt.dropped_tokens += len(repeated)
         self.token_ids.extend(event.token_ids[overlap:])
 
-    def _join_text(self, event: TokenEvent) -> str:
+    def _append_text(self, event: TokenEvent) -> str:
         overlap = self.delivered_characters - event.text_offset
         if overlap < 0:
             raise ResumeMismatchError(
@@ -336,7 +341,8 @@
     def _finish(self, event: TokenEvent) -> None:
         if self.position < self.delivered:
             raise ResumeMismatchError(
-                f"it ended at {self.position}, before {self.delivered}"
+                f"the answer ended at token {self.position},"
+                f" but {self.delivered} were delivered"
             )
         self.finish_reason = event.finish_reason
         self.prompt_tokens = event.prompt_tokens
--- a/passtally/handle.py
+++ b/passtally/handle.py
@@ -1,8 +1,8 @@
-"""Signed resume handles: what a caller brings when its entry host is gone.
+"""Signed resume handles, with which a caller resumes an answer at another entry host.
 
-Every event to a caller carries one as its ``id``. A handle is bound to the
-workspace and to the request's body, so that nobody else can go on with it and
-no other request can be joined on to it.
+Every event to a caller carries a handle as its ``id``. A handle is bound to the
+workspace and to the request's body, so that no other workspace and no other request
+can resume the answer with it.
 """
 
 import base64
@@ -21,24 +21,24 @@
 
 
 class HandleError(ValueError):
-    """A handle that was not issued here, or not for this request."""
+    """A handle that no host signed, or that was issued for another request."""
 
 
 @attrs.frozen(kw_only=True)
 class StreamRef:
-    """Where a stream is, the same for all events of one attempt.
+    """The location and fixed parameters of a stream, the same for a whole attempt.
 
     Attributes:
-        generation_id: The generation.
+        generation_id: The generation's id.
         endpoint_id: The endpoint that runs the current attempt.
         attempt: The current attempt's number.
         model: The model's name at the engines.
         version: The model's version.
         adapter: The adapter's name, or empty.
         seed: The sampling seed.
-        max_tokens: The length at which the answer ends.
-        copy_host: The peer that holds the copy, or empty.
-        copy_id: The copy's id there.
+        max_tokens: The maximum length of the answer in tokens.
+        copy_host: The peer that has a copy of the answer, or empty.
+        copy_id: The copy's id at that peer.
     """
 
     generation_id: str
@@ -62,7 +62,7 @@
         copy_host: str = "",
         copy_id: str = "",
     ) -> "StreamRef":
-        """Return where a request's stream is, and all that its resume must keep."""
+        """Return the reference of a request's stream at an endpoint."""
         return cls(
             generation_id=request.id,
             endpoint_id=endpoint_id,
@@ -79,14 +79,14 @@
 
 @attrs.frozen(kw_only=True)
 class ResumePoint:
-    """How far a caller has come.
+    """The point from which a caller resumes an answer.
 
     Attributes:
-        stream: Where its stream is.
-        position: The tokens delivered.
-        characters: The characters of text delivered.
+        stream: The reference of the answer's stream.
+        position: Number of tokens delivered.
+        characters: Number of characters of text delivered.
         tail_start: The position of the tail's first token.
-        tail: The last token ids delivered, those that the copy may lack.
+        tail: The last token ids delivered, which the copy may lack.
     """
 
     stream: StreamRef
@@ -97,12 +97,12 @@
 
 
 class HandleSigner:
-    """Issues and opens handles.
+    """Signs and verifies handles.
 
     Args:
-        keys_by_id: The signing keys. All open handles; to rotate, add the new
-            key everywhere, then make it active, then remove the old one.
-        active_key: The id of the key that signs.
+        keys_by_id: The signing keys; each of them verifies handles. To rotate, add the
+            new key on all hosts, then make it active, then remove the old one.
+        active_key: The id of the key that signs new handles.
 
     Raises:
         ValueError: The active key is not among the keys.
@@ -115,27 +115,28 @@
         self.active_key = active_key
 
     def writer(self, stream: StreamRef, *, binding: bytes) -> "HandleWriter":
-        """Return what writes the handles of one attempt.
+        """Return a writer for the handles of one attempt.
 
         Args:
-            stream: Where the stream is.
-            binding: What the handles are bound to; see :func:`bind`.
+            stream: The reference of the attempt's stream.
+            binding: The workspace and body that the handles are bound to; see
+                :func:`bind`.
         """
-        body = base64.urlsafe_b64encode(msgspec.msgpack.encode(_as_row(stream)))
+        body = base64.urlsafe_b64encode(msgspec.msgpack.encode(_to_row(stream)))
         prefix = f"{self.active_key}.{body.decode().rstrip('=')}."
         return HandleWriter(
             prefix=prefix, key=self._keys_by_id[self.active_key], binding=binding
         )
 
     def open(self, handle: str, *, binding: bytes) -> ResumePoint:
-        """Read a handle that a caller brought.
+        """Verify and decode a handle that a caller sent.
 
         Args:
-            handle: The last event id.
-            binding: What it must be bound to.
+            handle: The caller's last event id.
+            binding: The workspace and body that it must be bound to.
 
         Raises:
-            HandleError: It is damaged, forged, or of another request.
+            HandleError: The handle is damaged, forged, or bound to another request.
         """
         if len(handle) > MAX_HANDLE_CHARACTERS:
             raise HandleError("the resume handle is too long")
@@ -143,7 +144,7 @@
         key = self._keys_by_id.get(signed.partition(".")[0])
         if key is None or not handle.isascii():
             raise HandleError("the resume handle is damaged or its key was retired")
-        if not hmac.compare_digest(_sign(_keyed(key, binding), signed), mac):
+        if not hmac.compare_digest(_sign(_keyed_hash(key, binding), signed), mac):
             raise HandleError("the resume handle does not belong to this request")
         return _parse(signed)
 
@@ -152,14 +153,14 @@
     """Writes the handles of one attempt, cheaply enough for every token.
 
     Args:
-        prefix: The part that all of them share.
+        prefix: The prefix of all handles of the attempt.
         key: The signing key.
-        binding: What they are bound to.
+        binding: The workspace and body that the handles are bound to.
     """
 
     def __init__(self, *, prefix: str, key: bytes, binding: bytes) -> None:
         self._prefix = prefix
-        self._keyed = _keyed(key, binding)
+        self._keyed_hash = _keyed_hash(key, binding)
 
     def write(
         self, position: int, characters: int, tail_start: int, tail: Sequence[int]
@@ -167,25 +168,25 @@
         """Return one handle; see :class:`ResumePoint` for the arguments."""
         tail_text = "-".join(map(str, tail)) if tail else ""
         signed = f"{self._prefix}{position}.{characters}.{tail_start}.{tail_text}"
-        return f"{signed}.{_sign(self._keyed, signed)}"
+        return f"{signed}.{_sign(self._keyed_hash, signed)}"
 
 
 def bind(workspace: str, body: bytes) -> bytes:
-    """Return what a handle is bound to: a workspace and a request's body."""
+    """Return the binding of a handle to a workspace and a request's body."""
     digest = hashlib.blake2b(body, digest_size=16, person=b"passtally-body")
     return workspace.encode() + b"\0" + digest.digest()
 
 
-def _as_row(stream: StreamRef) -> tuple[str | int, ...]:
+def _to_row(stream: StreamRef) -> tuple[str | int, ...]:
     return attrs.astuple(stream)
 
 
-def _keyed(key: bytes, binding: bytes) -> "hashlib.blake2b":
+def _keyed_hash(key: bytes, binding: bytes) -> "hashlib.blake2b":
     return hashlib.blake2b(binding, key=key[:64], digest_size=MAC_BYTES)
 
 
-def _sign(keyed: "hashlib.blake2b", signed: str) -> str:
-    mac = keyed.copy()
+def _sign(keyed_hash: "hashlib.blake2b", signed: str) -> str:
+    mac = keyed_hash.copy()
     mac.update(signed.encode())
     return mac.hexdigest()
 
--- a/passtally/http_engine.py
+++ b/passtally/http_engine.py
@@ -58,7 +58,7 @@
     Args:
         session: The client session.
         endpoint_id: The endpoint's name, for errors.
-        url: Where it listens.
+        url: The endpoint's base URL.
     """
 
     reports_load = True
@@ -74,7 +74,7 @@
     async def generate(
         self, request: GenerationRequest, attempt: Attempt, prior: Sequence[int]
     ) -> TokenStream:
-        """Run a request, going on after the prior token ids."""
+        """Run a request, continuing after the prior token ids."""
         body = _Body(
             request_id=request.id,
             attempt=attempt.number,
@@ -96,13 +96,13 @@
     async def attach(
         self, request: GenerationRequest, attempt: Attempt, *, position: int
     ) -> TokenStream:
-        """Take up a stream that the engine still holds, from a position."""
+        """Attach to a stream that the engine still has, from a position."""
         path = f"/v1/streams/{request.id}"
         params = {"from": str(position), "attempt": str(attempt.number)}
         return await self._open("attach", "GET", path, params=params)
 
     async def cancel(self, generation_id: str, attempt: int) -> None:
-        """Ask it to drop an attempt; it may not hear."""
+        """Ask the engine to cancel an attempt; the request may get lost."""
         url = f"{self._url}/v1/streams/{generation_id}"
         params = {"attempt": str(attempt)}
         with contextlib.suppress(FetchError):
@@ -111,7 +111,7 @@
             )
 
     async def probe(self) -> LoadReport | None:
-        """Return its load report, or None where none came in time."""
+        """Return the engine's load report, or None if none arrives in time."""
         url = f"{self._url}/v1/load"
         try:
             fetched = await fetch(self._session, "GET", url, timeout=PROBE_TIMEOUT)
@@ -122,29 +122,29 @@
             return None
 
     async def copy_run(self, generation_id: str, target: str) -> str:
-        """Refuse: these engines keep no copies of each other's runs."""
+        """Raise AttemptLostError: these engines do not support replicas."""
         raise self._lost(LossKind.REFUSED, "copy", "not supported")
 
     async def drop_copy(self, replica_ref: str, target: str) -> None:
-        """Do nothing: there are no copies."""
+        """Do nothing: these engines do not support replicas."""
 
     async def count_waiting(self) -> int:
-        """Return how many runs are queued there."""
+        """Return the number of queued runs from the engine's load report."""
         report = await self.probe()
         if report is None:
             raise self._lost(LossKind.FROZEN, "report", "no answer in time")
         return report.queued
 
     async def list_cached_prompts(self) -> Collection[str]:
-        """Return none: these engines' cache events are not read."""
+        """Return an empty collection: cache events of these engines are not read."""
         return ()
 
     async def is_reachable(self) -> bool:
-        """Return whether it answers a probe."""
+        """Return whether the engine answers a probe."""
         return await self.probe() is not None
 
     async def has_ended(self) -> bool:
-        """Return that nothing tells so: taking a stream up shows it."""
+        """Return False: only a failed attach shows that these engines have exited."""
         return False
 
     async def _open(
@@ -193,11 +193,11 @@
         self._step = step
         self._peer = peer
         self.report = _read_report(response.headers.get(LOAD_HEADER, ""))
-        self._rest = b""
+        self._buffer = b""
         self._has_ended = False
 
     async def read(self) -> list[TokenEvent]:
-        """Return the events that arrived together; none once it has ended."""
+        """Return the next events that arrived together; empty after the last event."""
         try:
             while not self._has_ended:
                 chunk = await self._content.readany()
@@ -213,14 +213,14 @@
         return []
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         self._response.close()
 
     def _decode(self, chunk: bytes) -> list[TokenEvent]:
-        """Return the whole events so far; a part event waits for its rest."""
-        *whole, self._rest = (self._rest + chunk).split(b"\n\n")
-        if len(self._rest) > MAX_EVENT_BYTES:
-            raise ValueError("an event is too long")
+        """Return the complete events, and buffer an incomplete one."""
+        *whole, self._buffer = (self._buffer + chunk).split(b"\n\n")
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise ValueError(f"an event is longer than {MAX_EVENT_BYTES} bytes")
         events = []
         for raw in whole:
             if raw.startswith(_DATA) and raw != _DONE:
@@ -240,7 +240,7 @@
 
 
 def _read_report(text: str) -> LoadReport | None:
-    """Read a load report that rode on an answer: ``running,queued,step,draining``."""
+    """Parse the load report in an answer's head: ``running,queued,step,draining``."""
     parts = text.split(",")
     if len(parts) != 4 or not all(part.isdigit() for part in parts):
         return None
--- a/passtally/job.py
+++ b/passtally/job.py
@@ -1,4 +1,4 @@
-"""A job: a generation that can wait, kept in the platform until it is collected."""
+"""A job: a generation whose answer is stored in the platform until it expires."""
 
 from enum import StrEnum
 
@@ -6,12 +6,13 @@
 import msgspec
 
 JOBS_PREFIX = "jobs/"
-#: The platform's values end at a megabyte; the rest is for the job's own fields.
+#: Maximum size of a job's answer. Values in the platform are limited to 1 MB, and the
+#: remainder is for the job's other fields.
 MAX_ANSWER_BYTES = 900_000
 
 
 class JobState(StrEnum):
-    """How far a job is."""
+    """The state of a job."""
 
     RUNNING = "running"
     DONE = "done"
@@ -20,17 +21,17 @@
 
 @attrs.frozen(kw_only=True)
 class Job:
-    """One job as the platform keeps it.
+    """A job as stored in the platform.
 
     Attributes:
-        id: Its id, which is its generation's.
-        workspace: Whose it is.
-        flavour: The shape of the API that it came by.
-        body: The caller's request.
+        id: The job's id, which is also its generation's id.
+        workspace: The id of the workspace that submitted it.
+        flavour: The flavour of the API by which it was submitted.
+        body: The body of the caller's request; empty once the job has ended.
         holder: The host that runs it.
-        takeovers: How often another host took it over.
-        state: How far it is.
-        answer: The body of the answer, or of the error.
+        takeovers: Number of times that another host took it over.
+        state: The job's state.
+        answer: The body of the answer or the error; empty while the job runs.
     """
 
     id: str
@@ -44,26 +45,26 @@
 
     @property
     def key(self) -> str:
-        """Where the platform keeps it."""
+        """The key of the job's value in the platform."""
         return JOBS_PREFIX + self.id
 
     def ended(self, state: JobState, answer: bytes) -> "Job":
-        """Return this job with its end; the request is no longer kept."""
+        """Return this job with its final state and answer, without the request."""
         return attrs.evolve(self, state=state, answer=answer.decode(), body="")
 
     def taken_over(self, holder: str) -> "Job":
-        """Return this job run by another host."""
+        """Return this job with another host as its holder."""
         return attrs.evolve(self, holder=holder, takeovers=self.takeovers + 1)
 
     def to_json(self) -> bytes:
-        """Return its value in the platform."""
+        """Return the job's value in the platform."""
         return msgspec.json.encode(self)
 
 
 def read_job(value: bytes) -> Job:
-    """Read a job's value.
+    """Decode a job's value in the platform.
 
     Raises:
-        msgspec.MsgspecError: It is damaged.
+        msgspec.MsgspecError: The value is damaged.
     """
     return msgspec.json.decode(value, type=Job)
--- a/passtally/jobs.py
+++ b/passtally/jobs.py
@@ -1,7 +1,7 @@
-"""Runs jobs, and takes over those whose host is gone when they are asked for.
+"""Runs jobs, and takes over a job with a dead host when its answer is requested.
 
-Nothing of a job's answer is delivered before it is whole, so a job may be started
-again from nothing; whichever host writes its end first decides the answer.
+A job's answer is delivered only when it is complete, so another host may restart the
+job from its beginning. The first host that writes a result determines the answer.
 """
 
 import asyncio
@@ -18,26 +18,26 @@
 from passtally.object_store import ConflictError, Platform, PlatformError
 from passtally.outcome import Code, Failure, Outcome, RefusedError, refuse
 
-KEEP = timedelta(hours=1)
+RETENTION_TIME = timedelta(hours=1)
 EXPIRE_INTERVAL = timedelta(minutes=5)
-END_PATIENCE = timedelta(minutes=10)
-END_PAUSE = timedelta(seconds=2)
+WRITE_TIMEOUT = timedelta(minutes=10)
+WRITE_RETRY_DELAY = timedelta(seconds=2)
 RETRY_AFTER = timedelta(seconds=2)
 
 RunJob = Callable[[Job], Awaitable[bytes]]
 
 
 class Jobs:
-    """The jobs of this host, and the way to all others.
+    """Runs the jobs of this host, and reads those of all hosts.
 
     Args:
-        host_id: This host's name.
-        store: Where jobs are written.
-        platform: Where they are listed.
-        gossip: Tells which hosts are alive.
+        host_id: The id of this host.
+        store: Writes and removes jobs.
+        platform: Reads and lists jobs.
+        gossip: Reports which hosts are alive.
         clock: The clock.
-        drain: Counts the jobs that run.
-        run_job: Runs one job and returns its answer's body.
+        drain: Counts the running jobs.
+        run_job: Runs one job and returns the body of its answer.
     """
 
     def __init__(
@@ -59,13 +59,13 @@
         self._drain = drain
         self._run_job = run_job
         self._tasks: set[asyncio.Task[None]] = set()
-        self._ended_since: dict[str, timedelta] = {}
+        self._ended_seen_at: dict[str, timedelta] = {}
 
     async def submit(self, job: Job) -> None:
-        """Accept a job: it is answered once the platform has it.
+        """Store a job in the platform, then start it on this host.
 
         Raises:
-            RefusedError: The platform did not answer, or the host is full.
+            RefusedError: The platform did not store the job.
         """
         try:
             version = await self._store.put(job.key, job.to_json(), version=0)
@@ -74,10 +74,10 @@
         self._start(job, version)
 
     async def collect(self, job_id: str, workspace: str) -> Job:
-        """Return a job as it is now; run it here if its host is gone.
+        """Return a job in its current state; take it over if its host is dead.
 
         Raises:
-            RefusedError: There is none of this workspace, or the platform is away.
+            RefusedError: The workspace has no such job, or the platform is unreachable.
         """
         try:
             stored = await self._platform.get(JOBS_PREFIX + job_id)
@@ -91,36 +91,36 @@
                 status=404,
                 step="collect",
             )
-        if job.state is JobState.RUNNING and self._is_gone(job):
+        if job.state is JobState.RUNNING and self._is_orphaned(job):
             return await self._take_over(job, stored.version)
         return job
 
     async def run(self) -> None:
-        """Remove jobs that ended long ago, for ever."""
+        """Remove expired jobs at regular intervals, until cancelled."""
         while True:
             await self._clock.sleep(EXPIRE_INTERVAL)
             try:
                 await self.expire()
             except PlatformError as error:
-                log_event("jobs", "Could not remove old jobs.", why=error)
+                log_event("jobs", "Could not remove expired jobs.", why=error)
 
     async def expire(self) -> None:
-        """Remove jobs that this host has known as ended for the time they are kept."""
+        """Remove the jobs that this host has seen as ended for ``RETENTION_TIME``."""
         now = self._clock.monotonic()
         listing = await self._platform.list_objects(JOBS_PREFIX)
         listed = {stored.key for stored in listing.objects}
-        for key in self._ended_since.keys() - listed:
-            del self._ended_since[key]
+        for key in self._ended_seen_at.keys() - listed:
+            del self._ended_seen_at[key]
         for stored in listing.objects:
             if read_job(bytes(stored.value)).state is JobState.RUNNING:
                 continue
-            since = self._ended_since.setdefault(stored.key, now)
-            if now - since >= KEEP:
+            since = self._ended_seen_at.setdefault(stored.key, now)
+            if now - since >= RETENTION_TIME:
                 await self._store.remove(stored.key, version=None)
 
-    def _is_gone(self, job: Job) -> bool:
+    def _is_orphaned(self, job: Job) -> bool:
         if job.holder == self._host_id:
-            # A host that was restarted under its old name runs none of its jobs.
+            # After a restart under the same id, this host runs none of its former jobs.
             return all(task.get_name() != job.id for task in self._tasks)
         views = {view.id: view for view in self._gossip.views()}
         return job.holder not in views or not views[job.holder].alive
@@ -137,18 +137,18 @@
             "place",
             request=job.id,
             choice=self._host_id,
-            reason="the job's host is out of reach",
+            reason="the job's host is unreachable",
             candidates=(job.holder,),
         )
         self._start(taken, version)
         return taken
 
     def _start(self, job: Job, version: int) -> None:
-        task = asyncio.create_task(self._run_to_end(job, version), name=job.id)
+        task = asyncio.create_task(self._run_to_completion(job, version), name=job.id)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _run_to_end(self, job: Job, version: int) -> None:
+    async def _run_to_completion(self, job: Job, version: int) -> None:
         try:
             with self._drain.track():
                 answer = await self._run_job(job)
@@ -157,22 +157,30 @@
                 ended = job.ended(JobState.DONE, answer)
         except RefusedError as error:
             ended = job.ended(JobState.FAILED, error.failure.to_json())
-        await self._write_end(ended, version)
+        await self._write_result(ended, version)
 
-    async def _write_end(self, job: Job, version: int) -> None:
-        """Write a job's end, through outages; another host's end stays."""
-        deadline = self._clock.monotonic() + END_PATIENCE
+    async def _write_result(self, job: Job, version: int) -> None:
+        """Write a job's result, retrying while the platform is unreachable.
+
+        A result that another host wrote before is not overwritten.
+        """
+        deadline = self._clock.monotonic() + WRITE_TIMEOUT
         while self._clock.monotonic() < deadline:
             try:
                 await self._store.put(job.key, job.to_json(), version=version)
-                log_event("jobs", f"Ended as {job.state}.", request=job.id)
+                log_event("jobs", f"Job ended as {job.state}.", request=job.id)
                 return
             except ConflictError:
-                log_event("jobs", "Another host ended it.", request=job.id)
+                log_event("jobs", "Another host updated the job.", request=job.id)
                 return
             except PlatformError as error:
-                log_event("jobs", "Could not write.", request=job.id, why=error)
-                await self._clock.sleep(END_PAUSE)
+                log_event(
+                    "jobs",
+                    "Could not write the job's result.",
+                    request=job.id,
+                    why=error,
+                )
+                await self._clock.sleep(WRITE_RETRY_DELAY)
 
 
 def _too_long() -> RefusedError:
--- a/passtally/relay.py
+++ b/passtally/relay.py
@@ -1,4 +1,4 @@
-"""Passes one attempt's output on, under the watch for silence."""
+"""Relays the output of one attempt to the caller, and watches it for silence."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -20,20 +20,22 @@
 from passtally.live_endpoint import LiveEndpoint, StreamGuard
 from passtally.retry import LossKind
 
-#: An estimate is enough for a budget.
-CHARACTERS_A_TOKEN = 4
-#: Engines take lower numbers first; new requests have 10 or more.
+#: Estimated number of characters per token; only used for the budget of resume tokens,
+#: for which an estimate is precise enough.
+CHARACTERS_PER_TOKEN = 4
+#: Engine priority of a resumed answer. Engines run lower numbers first; new requests
+#: have 10 or more.
 RESUME_PRIORITY = 0
 
 
 class Sink(Protocol):
-    """Where an answer goes."""
+    """Receives the output of a generation."""
 
     def switch(self, generation: Generation, attempt: Attempt) -> None:
-        """Learn of a new attempt before its first output."""
+        """Switch to a new attempt, before its first output."""
 
     async def write(self, deliveries: list[Delivery]) -> None:
-        """Take new output; returns when more may come.
+        """Write new output, and return when more can be accepted.
 
         Raises:
             ConnectionError: The caller left.
@@ -44,29 +46,31 @@
 
 
 async def always_fail_over(kind: LossKind) -> bool:
-    """Let every answer go on elsewhere."""
+    """Allow every answer to fail over."""
     return True
 
 
 class Relay:
-    """One attempt, from its dispatch to its end or loss.
+    """Runs one attempt from its dispatch until it completes or is lost.
 
-    Silence does not tell that an endpoint is lost: a host whose own link is full
-    reaches none of them. An attempt is so given up for silence only where its answer
-    may go on elsewhere; else it waits on, until output comes or its caller leaves.
+    Silence does not prove that an endpoint is dead: a host whose own link is saturated
+    reaches no endpoint at all. An attempt is therefore given up for silence only if its
+    answer may fail over to another endpoint. Otherwise it keeps waiting until output
+    arrives or the caller leaves.
 
     Args:
-        generation: What runs.
+        generation: The generation that the attempt belongs to.
         attempt: The attempt.
-        live: Where it runs.
-        sink: Where its output goes.
+        live: The endpoint that runs the attempt.
+        sink: Receives the output.
         clock: The clock.
-        replica: Where a replica of its state is kept, if anywhere.
-        load_changed: Called when what it takes at endpoints has changed.
-        on_first: Called before its first output is passed on.
+        replica: The endpoint that keeps a replica of the attempt's state, if any.
+        load_changed: Called when the load that the attempt puts on its endpoints
+            has changed.
+        on_first: Called before the first output is written to the sink.
         first_limit: See :class:`passtally.live_endpoint.StreamGuard`.
-        may_fail_over: Returns whether the answer may go on elsewhere once its endpoint
-            is given up for silence, by how the attempt is lost then.
+        may_fail_over: Returns whether the answer may fail over to another endpoint
+            after a loss of the given kind.
     """
 
     def __init__(
@@ -92,67 +96,67 @@
         self._load_changed = load_changed
         self._on_first = on_first
         self._may_fail_over = may_fail_over
-        self._leaving: asyncio.Task[None] | None = None
+        self._failover_check: asyncio.Task[None] | None = None
         self._guard = StreamGuard(
             quiet_since=clock.monotonic(),
             first_limit=first_limit,
             max_gap=generation.request.max_gap,
             fingerprint=generation.request.fingerprint,
         )
-        self._resuming = 0
-        self._reading = 0
+        self._resume_tokens = 0
+        self._prefill_tokens = 0
 
     @property
     def last_output_at(self) -> timedelta | None:
-        """When the last output came; None before the first."""
+        """Time of the last output; None before the first."""
         return self._guard.silent_since if self._guard.reads else None
 
     @property
     def has_begun(self) -> bool:
-        """Whether output has come."""
+        """Whether the attempt has sent output."""
         return self._guard.reads > 0
 
     async def run(self, *, attach: bool) -> None:
-        """Pass the output on until the answer ends.
+        """Relay the output until the answer is complete.
 
         Args:
-            attach: Whether to take up a stream that the endpoint still holds.
+            attach: Whether to attach to a stream that the endpoint still has.
 
         Raises:
-            AttemptLostError: It can't go on.
+            AttemptLostError: The attempt can't continue.
             ConnectionError: The caller left.
         """
         live = self._live
         self._sink.switch(self._generation, self._attempt)
         if not attach:
-            self._resuming = count_resume_tokens(self._generation)
-            self._reading = count_prefill_tokens(self._generation)
+            self._resume_tokens = count_resume_tokens(self._generation)
+            self._prefill_tokens = count_prefill_tokens(self._generation)
         live.enter()
-        live.resume_tokens += self._resuming
-        live.prefill_tokens += self._reading
+        live.resume_tokens += self._resume_tokens
+        live.prefill_tokens += self._prefill_tokens
         live.guards.add(self._guard)
-        held = [live] if self._replica is None else [live, self._replica]
+        endpoints = [live] if self._replica is None else [live, self._replica]
         tokens = count_kv_tokens(self._generation)
-        for endpoint in held:
+        for endpoint in endpoints:
             endpoint.kv_tokens += tokens
         self._load_changed()
         try:
-            await self._pass_on(attach=attach)
+            await self._forward(attach=attach)
         except ResumeMismatchError as error:
             raise self._lost(LossKind.RESUME_MISMATCH, "join", str(error)) from error
         finally:
-            for endpoint in held:
+            for endpoint in endpoints:
                 endpoint.kv_tokens -= tokens
             live.guards.discard(self._guard)
-            self._end_reading()
+            self._end_prefill()
             live.leave()
             self._load_changed()
 
-    async def _pass_on(self, *, attach: bool) -> None:
+    async def _forward(self, *, attach: bool) -> None:
         stream: TokenStream | None = None
         try:
             async with asyncio.timeout(None) as scope:
-                self._guard.trip = lambda: self._begin_leaving(scope)
+                self._guard.trip = lambda: self._start_failover_check(scope)
                 stream = await self._open(attach=attach)
                 self._attempt.begun_at = self._clock.monotonic()
                 await self._read(stream)
@@ -160,25 +164,30 @@
             kind = self._guard.tripped or LossKind.FROZEN
             raise self._lost(kind, "stream", "silence") from error
         finally:
-            if self._leaving is not None:
-                self._leaving.remove_done_callback(self._record_left)
-                self._leaving.cancel()
+            if self._failover_check is not None:
+                self._failover_check.remove_done_callback(self._finish_failover_check)
+                self._failover_check.cancel()
             if stream is not None:
                 stream.close()
 
-    def _begin_leaving(self, scope: asyncio.Timeout) -> None:
-        self._leaving = asyncio.create_task(self._leave(scope))
-        self._leaving.add_done_callback(self._record_left)
+    def _start_failover_check(self, scope: asyncio.Timeout) -> None:
+        self._failover_check = asyncio.create_task(self._check_failover(scope))
+        self._failover_check.add_done_callback(self._finish_failover_check)
 
-    def _record_left(self, leaving: asyncio.Task[None]) -> None:
-        """Judge the endpoint again where asking whether to leave it failed."""
-        error = None if leaving.cancelled() else leaving.exception()
-        if leaving.cancelled() or error is not None:
-            log_event("silence", "Not decided.", peer=self._live.endpoint.id, why=error)
+    def _finish_failover_check(self, check: asyncio.Task[None]) -> None:
+        """Watch for silence again if the check for failover did not complete."""
+        error = None if check.cancelled() else check.exception()
+        if check.cancelled() or error is not None:
+            log_event(
+                "silence",
+                "Failover check did not complete.",
+                peer=self._live.endpoint.id,
+                why=error,
+            )
             self._guard.hold(self._clock.monotonic())
 
-    async def _leave(self, scope: asyncio.Timeout) -> None:
-        """Give a silent endpoint up, or wait on there."""
+    async def _check_failover(self, scope: asyncio.Timeout) -> None:
+        """Time the attempt out if its answer may fail over; else keep waiting."""
         guard = self._guard
         reads = guard.reads
         may_fail_over = guard.is_lost or await self._may_fail_over(guard.tripped)
@@ -188,7 +197,7 @@
         if not guard.is_held:
             log_event(
                 "silence",
-                "Waiting on.",
+                "Endpoint silent and no failover possible; still waiting.",
                 request=self._generation.request.id,
                 peer=self._live.endpoint.id,
                 loss=guard.tripped,
@@ -213,27 +222,30 @@
         while events := await stream.read():
             guard.reads += 1
             if guard.reads == 1:
-                self._record_first()
+                self._record_first_output()
             if guard.is_held:
                 guard.is_held = False
                 self._live.reset_ejection()
             guard.is_waiting = False
-            await self._deliver(events)
+            await self._deliver_events(events)
             guard.is_waiting = True
 
-    def _record_first(self) -> None:
+    def _record_first_output(self) -> None:
         self._live.reset_ejection()
-        self._end_reading()
+        self._end_prefill()
         self._load_changed()
         self._on_first()
 
-    def _end_reading(self) -> None:
-        self._live.resume_tokens -= self._resuming
-        self._live.prefill_tokens -= self._reading
-        self._resuming = self._reading = 0
+    def _end_prefill(self) -> None:
+        self._live.resume_tokens -= self._resume_tokens
+        self._live.prefill_tokens -= self._prefill_tokens
+        self._resume_tokens = self._prefill_tokens = 0
+
+    async def _deliver_events(self, events: list[TokenEvent]) -> None:
+        """Append events to the generation and write the new output.
 
-    async def _deliver(self, events: list[TokenEvent]) -> None:
-        """Join events on and write what is new, also what came before a bad seam."""
+        If an event does not continue the answer, the output before it is still written.
+        """
         deliveries: list[Delivery] = []
         try:
             for event in events:
@@ -251,21 +263,21 @@
 
 
 def count_kv_tokens(generation: Generation) -> int:
-    """Return the tokens that a run may take in an endpoint's memory."""
+    """Return the maximum number of tokens of a run in an endpoint's KV memory."""
     request = generation.request
     return request.prompt_tokens + request.max_tokens
 
 
 def count_prefill_tokens(generation: Generation) -> int:
-    """Return the tokens to read before a run's next output, where that is known."""
+    """Return the tokens to prefill before a run's next output; 0 if unknown."""
     prompt_tokens = generation.request.prompt_tokens
     return prompt_tokens + generation.position if prompt_tokens else 0
 
 
 def count_resume_tokens(generation: Generation) -> int:
-    """Return the tokens to read before an answer that has begun goes on."""
+    """Return the tokens to prefill before an answer resumes; 0 for a new answer."""
     if not generation.delivered:
         return 0
     request = generation.request
-    prompt_tokens = request.prompt_tokens or len(request.prompt) // CHARACTERS_A_TOKEN
+    prompt_tokens = request.prompt_tokens or len(request.prompt) // CHARACTERS_PER_TOKEN
     return generation.position + prompt_tokens
--- a/passtally/retry.py
+++ b/passtally/retry.py
@@ -1,4 +1,4 @@
-"""What follows when an attempt is lost. Pure."""
+"""Decides how to continue after an attempt is lost, without I/O or state."""
 
 from enum import StrEnum
 
@@ -8,26 +8,26 @@
 class LossKind(StrEnum):
     """How an attempt was lost."""
 
-    #: The connection broke; the process may be gone or only the connection.
+    #: The connection broke; the endpoint's process may have exited or still run.
     RESET = "reset"
-    #: It fell silent and did not answer the probe.
+    #: The endpoint was silent and did not answer the probe.
     FROZEN = "frozen"
-    #: It sent tokens that do not join on.
+    #: The endpoint sent output that does not continue the answer so far.
     RESUME_MISMATCH = "seam"
-    #: It refused the request before running it.
+    #: The endpoint rejected the request before running it.
     REFUSED = "refused"
-    #: A newer attempt, from another entry host, has taken the stream up.
+    #: A newer attempt, from another entry host, has attached to the stream.
     SUPERSEDED = "superseded"
-    #: Another endpoint has its address now: this one has ended for good.
+    #: Another endpoint has the address now; the previous one has exited.
     REPLACED = "replaced"
-    #: No connection to it could be made.
+    #: No connection to the endpoint could be opened.
     UNREACHABLE = "unreachable"
 
 
 class Holder(StrEnum):
     """What may still have the state of a lost stream."""
 
-    #: Nothing: the prompt has to be read again.
+    #: Nothing: the prompt needs another prefill.
     NONE = "none"
     #: The endpoint itself keeps streams whose connection broke.
     ENDPOINT = "endpoint"
@@ -35,27 +35,27 @@
     REPLICA = "replica"
 
 
-#: Losses after which the request is known not to have run there.
+#: Losses after which the request is known not to have run at the endpoint.
 UNRUN_KINDS = frozenset((LossKind.REFUSED, LossKind.UNREACHABLE, LossKind.REPLACED))
 
 
 class NextStep(StrEnum):
-    """What to do now."""
+    """The next step after an attempt is lost."""
 
-    #: Take up the stream where its state is still held.
+    #: Attach to the stream at the endpoint that may still have its state.
     ATTACH = "attach"
-    #: Go on at another endpoint from the last position.
+    #: Resume at another endpoint from the last position.
     RESUME = "resume"
-    #: End with an honest failure.
+    #: Fail the generation; the caller receives an error.
     GIVE_UP = "give_up"
 
 
 @attrs.frozen(kw_only=True)
 class RetryLimits:
-    """Where resuming ends.
+    """The limits on the attempts of a generation.
 
     Attributes:
-        max_attempts: The dispatches one generation may have.
+        max_attempts: The maximum number of dispatches of one generation.
     """
 
     max_attempts: int = 6
@@ -63,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class RetryDecision:
-    """What follows a loss, and why."""
+    """The next step after a loss, and the reason for the decision log."""
 
     step: NextStep
     reason: str
@@ -77,17 +77,17 @@
     limits: RetryLimits,
     holder: Holder = Holder.ENDPOINT,
 ) -> RetryDecision:
-    """Decide what follows a lost attempt.
+    """Decide how to continue after an attempt was lost.
 
     Args:
         kind: How it was lost.
-        attempts: The attempts made so far, this one included.
-        was_attached: Whether this attempt had itself taken up a held stream.
-        limits: Where resuming ends.
+        attempts: Number of attempts made so far, this one included.
+        was_attached: Whether this attempt had itself attached to an existing stream.
+        limits: The limits on attempts.
         holder: What may still have the stream's state.
     """
     if kind is LossKind.SUPERSEDED:
-        return RetryDecision(step=NextStep.GIVE_UP, reason="taken up by another host")
+        return RetryDecision(step=NextStep.GIVE_UP, reason="resumed by another host")
     if attempts >= limits.max_attempts:
         return RetryDecision(step=NextStep.GIVE_UP, reason="too many attempts")
     if holder is Holder.REPLICA and kind not in UNRUN_KINDS:
@@ -95,22 +95,23 @@
     is_kept = holder is Holder.ENDPOINT and not was_attached
     if kind is LossKind.RESET and is_kept:
         return RetryDecision(
-            step=NextStep.ATTACH, reason="the endpoint may still hold the stream"
+            step=NextStep.ATTACH, reason="the endpoint may still have the stream"
         )
     return RetryDecision(step=NextStep.RESUME, reason=f"lost by {kind}")
 
 
 def is_endpoint_unreachable(kind: LossKind, *, was_attached: bool) -> bool:
-    """Return whether a loss shows that the endpoint itself is out of reach."""
+    """Return whether a loss shows that the endpoint itself is unreachable."""
     if kind in (LossKind.FROZEN, LossKind.UNREACHABLE, LossKind.REPLACED):
         return True
     return was_attached and kind is LossKind.RESET
 
 
 def is_endpoint_dead(kind: LossKind, *, was_attached: bool) -> bool:
-    """Return whether a loss shows that an endpoint that keeps streams has ended.
+    """Return whether a loss shows that an endpoint that keeps streams has exited.
 
-    One that has a stream no more was restarted.
+    An endpoint that rejects the attach because it no longer has the stream was
+    restarted.
     """
     lost_stream = (LossKind.REFUSED, LossKind.UNREACHABLE, LossKind.RESET)
     return was_attached and kind in lost_stream
--- a/tests/test_callers_that_leave.py
+++ b/tests/test_callers_that_leave.py
@@ -1,7 +1,8 @@
-"""A caller leaves: its work ends at once, and nothing more is sent for it.
+"""The work for a caller that leaves ends, and nothing more is sent to endpoints for it.
 
-The users allow half a second from the moment at which a caller's close has reached the
-host. Each class is a place at which a request may be by then.
+Guards against endpoints that continue a run, or receive a request, for a caller that
+has left. All work must end within 0.5 s after the caller's close has reached the host.
+Each class covers one stage of the request at that moment.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 from standins.runner import RunnerStandIn
 from tests.platform_system import PlatformSystem, run
 
-#: Within what time all work for a caller that left must have ended, in seconds.
+#: Time limit for the end of all work after a caller has left, in seconds.
 LIMIT = 0.5
 LONG = 60.0
 STREAM = (
@@ -72,7 +73,7 @@
 async def start(
     system: PlatformSystem, *, events: int = 200, engines: int = 3, lookups: int = 2
 ) -> FrontHost:
-    """Start a host before some engines and endpoints for calls."""
+    """Start a host with engines and with endpoints for calls."""
     config = make_config()
     for route in config["routes"]:
         route["target_latency_ms"] = 5000
@@ -92,8 +93,8 @@
             await asyncio.sleep(0.002)
 
 
-async def check_gone(system: PlatformSystem, caller: Leaver, **how: bool) -> None:
-    """Let a caller leave, and see that its work ends and none is begun."""
+async def check_work_ends(system: PlatformSystem, caller: Leaver, **how: bool) -> None:
+    """Let a caller leave, and check that its work ends and no other work starts."""
     host, runners = system.hosts[0], Runners(system)
     arrivals = runners.arrivals
     caller.leave(**how)
@@ -106,7 +107,7 @@
 
 
 def check(test: Callable[[PlatformSystem], Coroutine]) -> None:
-    """Run a test with the loop that hosts use, and with asyncio's own."""
+    """Run a test with asyncio's own event loop, and with uvloop as hosts use it."""
     run(test)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_run_once(test))
@@ -120,11 +121,11 @@
         await system.stop()
 
 
-class TestBeforeItIsRead:
-    """The host was busy while the request came and its caller left."""
+class TestBeforeTheRequestIsRead:
+    """The event loop is blocked while the request arrives and its caller leaves."""
 
     @pytest.mark.parametrize("path", ["/draft/1", "/look/1"])
-    def test_nothing_is_sent_though_connections_are_open(self, path, monkeypatch):
+    def test_nothing_is_sent_over_open_connections(self, path, monkeypatch):
         async def test(system: PlatformSystem) -> None:
             host = await start(system, events=2, engines=1, lookups=1)
             await (system.send(path) if path == "/look/1" else system.stream(path))
@@ -136,7 +137,7 @@
             Leaver(host, path).leave()
             time.sleep(LIMIT)
             await until(lambda: lost)
-            # A request that was sent all the same arrives within some milliseconds.
+            # A request that was sent in error would arrive within a few milliseconds.
             await asyncio.sleep(0.1)
             assert runners.arrivals == arrivals
 
@@ -144,7 +145,7 @@
 
 
 class TestWhileTheHostStarts:
-    def test_a_request_that_waits_for_the_configuration_ends(self):
+    def test_a_request_that_waits_for_the_configuration_is_dropped(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config())
             await system.add_runner("i-look", LOOKUPS)
@@ -152,15 +153,15 @@
             host = await system.add_host()
             caller = Leaver(host, "/look/1")
             await until(lambda: host.drain.open_requests)
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
             system.store.refusal = None
 
         run(test)
 
 
-class TestAtTheGate:
+class TestWhileQueuedAtTheGate:
     @pytest.mark.parametrize("path", ["/draft/1", "/look/1"])
-    def test_a_request_that_waits_is_not_let_in_later(self, path, monkeypatch):
+    def test_a_queued_request_is_not_admitted_later(self, path, monkeypatch):
         async def test(system: PlatformSystem) -> None:
             host = await start(system)
             full = Capacity(taken=100, places=100)
@@ -170,14 +171,14 @@
             caller.leave()
             await until(lambda: not host.drain.open_requests)
             monkeypatch.undo()
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
             assert not host.gate._futures
 
         run(test)
 
 
-class TestWhilePlaced:
-    def test_a_survey_is_followed_by_nothing(self, monkeypatch):
+class TestDuringPlacement:
+    def test_no_request_follows_a_survey(self, monkeypatch):
         async def test(system: PlatformSystem) -> None:
             host = await start(system)
             runners = Runners(system)
@@ -186,14 +187,14 @@
             monkeypatch.setattr(survey, "_is_needed", lambda: True)
             caller = Leaver(host, "/draft/1")
             await until(lambda: any(runner.reports for runner in runners.all))
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
             assert sum(runner.reports for runner in runners.all) == 1
             assert not runners.arrivals
 
         run(test)
 
 
-class TestWhileThePromptIsRead:
+class TestDuringPrefill:
     @pytest.mark.parametrize("fault", ["head_delay", "first_delay"])
     def test_the_endpoint_stops(self, fault):
         async def test(system: PlatformSystem) -> None:
@@ -202,23 +203,23 @@
             runners.set_faults(**{fault: LONG})
             caller = Leaver(host, "/draft/1")
             await until(lambda: runners.working)
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
 
         run(test)
 
 
-class TestWhileItStreams:
+class TestWhileTheAnswerStreams:
     def test_the_endpoint_stops(self):
         async def test(system: PlatformSystem) -> None:
             host = await start(system)
             caller = Leaver(host, "/draft/1")
             await until(lambda: any(r.replicas for r in system.runners.values()))
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
 
         run(test)
 
     @pytest.mark.parametrize("is_half", [False, True])
-    def test_also_where_its_caller_does_not_read(self, is_half):
+    def test_the_endpoint_stops_for_a_caller_that_does_not_read(self, is_half):
         async def test(system: PlatformSystem) -> None:
             host = await start(system, events=2000)
             Runners(system).set_faults(event_bytes=100_000)
@@ -226,7 +227,7 @@
             await until(lambda: host.front_server._connections)
             (connection,) = host.front_server._connections
             await until(lambda: not connection._writable.is_set())
-            await check_gone(system, caller, is_half=is_half)
+            await check_work_ends(system, caller, is_half=is_half)
 
         check(test)
 
@@ -235,7 +236,7 @@
     return next(runner for runner in system.runners.values() if runner.working)
 
 
-class TestWhileItIsResumed:
+class TestDuringFailover:
     def test_the_next_endpoint_stops(self):
         async def test(system: PlatformSystem) -> None:
             host = await start(system)
@@ -245,11 +246,11 @@
             Runners(system).set_faults(head_delay=LONG)
             first.faults.break_after = 100
             await until(lambda: Runners(system).arrivals == 2)
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
 
         run(test)
 
-    def test_nothing_is_sent_where_it_waits_for_a_repeat(self, monkeypatch):
+    def test_nothing_is_sent_after_a_wait_for_a_retry(self, monkeypatch):
         async def test(system: PlatformSystem) -> None:
             host = await start(system)
             asked = asyncio.Event()
@@ -266,11 +267,11 @@
             await until(lambda: any(r.replicas for r in system.runners.values()))
             running(system).faults.break_after = 100
             await asked.wait()
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
 
         run(test)
 
-    def test_a_silent_endpoint_that_it_waits_for_stops(self, monkeypatch):
+    def test_a_silent_endpoint_without_failover_stops(self, monkeypatch):
         async def test(system: PlatformSystem) -> None:
             host = await start(system)
             budgets = host.dispatcher._budgets
@@ -281,7 +282,7 @@
             first.faults.hang_after = 100
             live = host.fleet.find(first.name)
             await until(lambda: any(guard.is_held for guard in live.guards))
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
 
         run(test)
 
@@ -294,12 +295,12 @@
             runners.set_faults(answer_delay=LONG)
             caller = Leaver(host, "/look/1")
             await until(lambda: runners.working)
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
 
         run(test)
 
-    def test_none_is_sent_to_a_second_endpoint(self, monkeypatch):
-        """Its first endpoint lost the answer, and a repeat is being borrowed."""
+    def test_no_retry_is_sent_to_a_second_endpoint(self, monkeypatch):
+        """The first endpoint lost the answer, and the host is borrowing a retry."""
 
         async def test(system: PlatformSystem) -> None:
             host = await start(system)
@@ -316,7 +317,7 @@
             Runners(system).set_faults(lose_answers=1)
             caller = Leaver(host, "/look/1")
             await asked.wait()
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
             assert Runners(system).arrivals == 1
 
         run(test)
@@ -330,6 +331,6 @@
             await until(lambda: runners.arrivals == 1)
             runners.set_faults(head_delay=LONG)
             await until(lambda: runners.working and runners.arrivals == 2)
-            await check_gone(system, caller)
+            await check_work_ends(system, caller)
 
         run(test)
--- a/tests/test_completion.py
+++ b/tests/test_completion.py
@@ -1,4 +1,4 @@
-"""The completion API's shapes, and what a resumed request keeps."""
+"""The JSON of the completion API, and the parameters of resumed requests."""
 
 import attrs
 import msgspec
@@ -23,7 +23,9 @@
 
 
 class TestResumedRequest:
-    def test_it_keeps_what_it_began_with_when_its_service_changes(self):
+    """A resumed answer must not change with its service's configuration."""
+
+    def test_a_resume_keeps_the_parameters_of_a_service_that_has_changed(self):
         first = build_at(SERVICE, None)
         stream = StreamRef.of(first, endpoint_id="r", attempt=1)
         point = ResumePoint(stream=stream, position=3, characters=5)
@@ -32,7 +34,7 @@
         )
         assert build_at(changed, point) == first
 
-    def test_a_callers_own_limit_and_seed_are_kept_too(self):
+    def test_the_limit_seed_and_stop_of_the_caller_are_used(self):
         raw = msgspec.json.encode(
             {"model": "s", "prompt": "p", "max_tokens": 5, "seed": 9, "stop": "x"}
         )
@@ -43,17 +45,17 @@
         assert (request.max_tokens, request.seed, request.stop) == (5, 9, ("x",))
 
 
-class TestShape:
+class TestAnswerFormat:
     @pytest.mark.parametrize("flavour", list(Flavour))
-    def test_events_and_whole_answers_are_the_usual_json(self, flavour):
+    def test_events_and_buffered_answers_are_the_usual_json(self, flavour):
         generation = make_generation()
         attempt = generation.start_attempt("r")
         generation.accept(attempt, event(0, "ab", "stop"))
-        shape = AnswerFormat(flavour=flavour, include_usage=True)
-        before, after = shape.event_parts(generation.request)
+        answer_format = AnswerFormat(flavour=flavour, include_usage=True)
+        before, after = answer_format.event_parts(generation.request)
         chunk = msgspec.json.decode((before + b'"x"' + after).strip())
-        last = msgspec.json.decode(shape.last_event(generation, "b"))
-        whole = msgspec.json.decode(shape.render_answer(generation, "ab"))
+        last = msgspec.json.decode(answer_format.last_event(generation, "b"))
+        whole = msgspec.json.decode(answer_format.render_answer(generation, "ab"))
         assert chunk["choices"][0]["finish_reason"] is None
         assert last["choices"][0]["finish_reason"] == "stop"
         assert last["usage"]["completion_tokens"] == 2
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Generations over engines that die, freeze and lie, in virtual time."""
+"""Generations over engines that crash, freeze or send wrong tokens, in virtual time."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -30,7 +30,7 @@
 
 
 class ListSink:
-    """Gathers output, and who sent it."""
+    """Records the output and the endpoint of each attempt."""
 
     def __init__(self) -> None:
         self.text = ""
@@ -48,14 +48,14 @@
 
 @attrs.frozen
 class Fault:
-    """What the next attempt does wrong, and after how many of its events."""
+    """The fault of one attempt, and the number of its events before the fault."""
 
     kind: str
     after: int
 
 
 class FaultyEngine(FakeEngine):
-    """An engine whose attempts fail as planned."""
+    """An engine whose attempts have the faults in ``plan``, in this order."""
 
     plan: list[Fault] = []
 
@@ -83,12 +83,12 @@
             count += 1
 
     async def probe(self):
-        """Answer nothing, as a frozen engine does."""
+        """Return None after the probe's timeout, as with a frozen engine."""
         await self._clock.sleep(timedelta(milliseconds=300))
 
 
 class Bench:
-    """A dispatcher over fake engines."""
+    """A dispatcher over four fake engines."""
 
     def __init__(self, engine_class=FakeEngine, **limits) -> None:
         self.clock = VirtualClock()
@@ -142,7 +142,7 @@
 class TestAnswers:
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(st.lists(FAULTS, max_size=6))
-    def test_an_answer_is_whole_or_ends_honestly(self, faults):
+    def test_an_answer_is_complete_or_ends_with_an_error(self, faults):
         async def run():
             FaultyEngine.plan = list(faults)
             bench = Bench(FaultyEngine)
@@ -163,7 +163,7 @@
             if failure.outcome is Outcome.NOT_RUN:
                 assert not generation.delivered
 
-    def test_output_before_a_bad_seam_in_one_read_is_not_lost(self):
+    def test_output_before_a_resume_mismatch_in_one_read_is_delivered(self):
         class LyingEngine(FakeEngine):
             lies = 1
 
@@ -180,7 +180,7 @@
 
         assert run_virtually(run()).text == expected_text(TOKENS)
 
-    def test_a_death_takes_the_answer_to_another_engine(self):
+    def test_an_answer_fails_over_when_its_engine_dies(self):
         async def run():
             bench = Bench()
             work = asyncio.ensure_future(bench.run(make_short_generation()))
@@ -193,7 +193,7 @@
         assert sink.text == expected_text(TOKENS)
         assert len(set(sink.engines)) == 2
 
-    def test_a_freeze_is_seen_within_two_seconds(self):
+    def test_an_answer_fails_over_within_two_seconds_of_a_freeze(self):
         async def run():
             bench = Bench()
             work = asyncio.ensure_future(bench.run(make_short_generation()))
@@ -207,7 +207,7 @@
         assert sink.text == expected_text(TOKENS)
         assert ended < 0.3 + 2 + TOKENS * 0.013
 
-    def test_a_slow_engine_that_answers_its_probe_is_waited_for(self):
+    def test_a_slow_engine_that_answers_its_probe_keeps_the_answer(self):
         class SlowEngine(FakeEngine):
             async def _produce(self, request, prior):
                 async for events in super()._produce(request, prior):
@@ -222,10 +222,13 @@
         assert sink.text == expected_text(TOKENS)
         assert len(sink.engines) == 1
 
-    def test_a_host_that_was_paused_does_not_judge_its_endpoints(self):
-        """The host sleeps through the probe: its answer lies unread."""
+    def test_a_pause_of_the_host_is_not_attributed_to_its_endpoints(self):
+        """A pause of the host must not count as silence of its endpoint.
 
-        class UnreadEngine(FakeEngine):
+        The host is paused during the probe, so its answer is not read in time.
+        """
+
+        class UnansweredEngine(FakeEngine):
             async def probe(self):
                 loop = asyncio.get_running_loop()
                 if loop.time() < 4:
@@ -241,7 +244,7 @@
                     yield events
 
         async def run():
-            return await Bench(UnreadEngine).run(make_short_generation())
+            return await Bench(UnansweredEngine).run(make_short_generation())
 
         sink = run_virtually(run())
         assert sink.text == expected_text(TOKENS)
@@ -250,8 +253,8 @@
 
 class TestCallersThatLeave:
     @pytest.mark.parametrize("at", [1, TOKENS])
-    def test_one_that_leaves_at_any_output_is_told_to_the_handler(self, at):
-        """Also at the last output, when the generation has already finished."""
+    def test_a_caller_that_leaves_at_any_output_raises_connection_error(self, at):
+        """The error is also raised at the last output, when the generation is final."""
 
         class LeavingSink(ListSink):
             async def write(self, deliveries) -> None:
@@ -269,7 +272,7 @@
 
 
 class TestCopies:
-    def test_a_copy_that_contradicts_ends_honestly(self):
+    def test_a_copy_that_is_too_short_ends_with_an_error(self):
         async def run():
             bench = Bench()
             generation = make_short_generation(delivered=5, delivered_characters=10)
@@ -289,7 +292,7 @@
         assert failure.position == 5
 
 
-class TestEnds:
+class TestErrors:
     def refuse(self, bench_options=None, **generation_options):
         async def run():
             bench = Bench(**(bench_options or {}))
@@ -302,13 +305,13 @@
 
         return run_virtually(run())
 
-    def test_nothing_reached_is_not_run(self):
+    def test_a_request_that_reached_no_endpoint_is_reported_as_not_run(self):
         failure = self.refuse()
         assert failure.code is Code.NO_ENDPOINT
         assert failure.outcome is Outcome.NOT_RUN
         assert failure.retry_after
 
-    def test_where_it_may_have_run_nothing_is_promised(self):
+    def test_a_request_that_may_have_run_is_reported_as_unknown(self):
         async def run():
             FaultyEngine.plan = [Fault("reset", 0)] * 2
             with pytest.raises(RefusedError) as caught:
@@ -319,8 +322,8 @@
         assert failure.outcome is Outcome.UNKNOWN
         assert failure.status == 502, "503 promises that it has not run"
 
-    def test_a_poison_prompt_is_stopped_and_quarantined(self):
-        class PoisonedEngine(FakeEngine):
+    def test_a_prompt_that_crashes_engines_is_stopped_and_quarantined(self):
+        class CrashingEngine(FakeEngine):
             async def _produce(self, request, prior):
                 async for events in super()._produce(request, prior):
                     if events[0].position >= 10:
@@ -328,7 +331,7 @@
                     yield events
 
         async def run():
-            bench = Bench(PoisonedEngine)
+            bench = Bench(CrashingEngine)
             with pytest.raises(RefusedError) as first:
                 await bench.run(make_short_generation())
             dead = sum(engine.is_dead for engine in bench.engines.values())
@@ -355,7 +358,7 @@
         assert "stream" in str(error) and "r1" in str(error)
 
 
-class TestSeamEvents:
+class TestTokenEvents:
     def test_a_token_event_may_carry_no_tokens(self):
         generation = make_generation()
         attempt = generation.start_attempt("a")
--- a/tests/test_generation.py
+++ b/tests/test_generation.py
@@ -1,4 +1,4 @@
-"""The seams of one generation."""
+"""How a generation accepts, rejects and resumes output of its attempts."""
 
 import pytest
 
@@ -30,7 +30,7 @@
 
 
 def event(position: int, text: str, reason: str | None = None) -> TokenEvent:
-    """One token for each character, numbered by its code."""
+    """Return an event with a token for each character, whose id is its code point."""
     return TokenEvent(
         position=position,
         token_ids=[ord(letter) for letter in text],
@@ -40,8 +40,8 @@
     )
 
 
-class TestSeams:
-    def test_a_second_attempt_goes_on_where_the_first_was_lost(self):
+class TestAccept:
+    def test_a_second_attempt_continues_where_the_first_was_lost(self):
         generation = make_generation()
         first = generation.start_attempt("a")
         assert generation.accept(first, event(0, "ab")).text == "ab"
@@ -77,7 +77,7 @@
         with pytest.raises(ResumeMismatchError, match="missing"):
             generation.accept(attempt, event(1, "b"))
 
-    def test_contradicting_tokens_are_an_error(self):
+    def test_differing_tokens_are_an_error(self):
         generation = make_generation()
         attempt = generation.start_attempt("a")
         generation.accept(attempt, event(0, "abc"))
@@ -91,7 +91,7 @@
         with pytest.raises(ResumeMismatchError, match="characters"):
             generation.accept(attempt, gap)
 
-    def test_half_a_character_at_the_seam_comes_once(self):
+    def test_a_character_split_over_two_attempts_is_delivered_once(self):
         generation = make_generation()
         first = generation.start_attempt("a")
         half = TokenEvent(position=0, token_ids=[0xC3], text_offset=0, text="")
@@ -102,15 +102,15 @@
         assert generation.accept(second, rest).text == "ñ"
         assert generation.delivered_characters == 1
 
-    def test_an_end_before_what_was_delivered_is_an_error(self):
+    def test_an_end_before_the_delivered_position_is_an_error(self):
         generation = make_generation(delivered=5, delivered_characters=5)
         attempt = generation.start_attempt("a", attach=True)
         with pytest.raises(ResumeMismatchError, match="ended"):
             generation.accept(attempt, event(0, "ab", "stop"))
 
 
-class TestGoingOnAtAnotherHost:
-    def test_what_the_caller_has_is_not_sent_again(self):
+class TestResumeAtAnotherHost:
+    def test_tokens_that_the_caller_has_are_not_delivered_again(self):
         generation = make_generation(
             delivered=2, delivered_characters=2, attempts_before=1
         )
@@ -125,8 +125,8 @@
         assert generation.accept(attempt, event(0, "ab", "stop")).finish_reason
 
 
-class TestLife:
-    def test_nothing_follows_the_end(self):
+class TestLifecycle:
+    def test_nothing_is_accepted_or_started_after_the_end(self):
         generation = make_generation()
         attempt = generation.start_attempt("a")
         generation.accept(attempt, event(0, "a", "stop"))
--- a/tests/test_generation_machine.py
+++ b/tests/test_generation_machine.py
@@ -1,4 +1,8 @@
-"""A state machine over the seams: attempts, hosts and replays in any order."""
+"""A generation under attempts, host changes and repeated output in any order.
+
+Guards against answers with missing, repeated or wrong text after a resume. Three broken
+generations check that the tests detect this.
+"""
 
 import pytest
 from hypothesis import settings
@@ -14,13 +18,16 @@
 from passtally.generation import Generation, ResumeMismatchError, TokenEvent
 from tests.test_generation import make_generation
 
-#: Two- and three-byte characters, so that tokens split them.
+#: Contains characters of two and three bytes, which the one-byte tokens split.
 ANSWER = "ruta 8 ñandú – സുരേഷ് 12"
 BYTES = ANSWER.encode()
 
 
 def event_at(position: int, length: int, *, other: bool = False) -> TokenEvent:
-    """One token for each byte; a character's text comes with its last byte."""
+    """Return an event with a token for each byte.
+
+    The text of a character is sent with its last byte.
+    """
     end = min(position + length, len(BYTES))
     data = BYTES[position:end]
     token_ids = [byte ^ 1 if other else byte for byte in data]
@@ -35,7 +42,7 @@
     )
 
 
-class SeamMachine(RuleBasedStateMachine):
+class GenerationMachine(RuleBasedStateMachine):
     """One answer to one caller, over many attempts and hosts."""
 
     generation_class = Generation
@@ -110,51 +117,51 @@
         self.sent[id(attempt)] = 0
 
     @invariant()
-    def what_came_is_the_start_of_the_answer(self):
+    def the_received_text_is_a_prefix_of_the_answer(self):
         assert ANSWER.startswith(self.received)
         assert self.received_tokens <= len(BYTES)
 
     @invariant()
-    def an_end_comes_once_and_with_the_whole_answer(self):
+    def the_answer_ends_once_and_complete(self):
         assert self.ends <= 1
         if self.ends:
             assert self.received == ANSWER
 
 
 class Unfenced(Generation):
-    """Broken: takes tokens of older attempts."""
+    """Broken generation that accepts tokens of older attempts."""
 
     def accept(self, attempt, event):
         return super().accept(self.current or attempt, event)
 
 
 class Unchecked(Generation):
-    """Broken: appends whatever comes."""
+    """Broken generation that appends all output without checks."""
 
-    def _join_tokens(self, attempt, event):
+    def _append_tokens(self, attempt, event):
         self.token_ids.extend(event.token_ids)
 
-    def _join_text(self, event):
+    def _append_text(self, event):
         self.delivered_characters += len(event.text)
         return event.text
 
 
 class Gapped(Generation):
-    """Broken: does not see that tokens are missing."""
+    """Broken generation that does not detect missing tokens or text."""
 
-    def _join_text(self, event):
+    def _append_text(self, event):
         overlap = max(0, self.delivered_characters - event.text_offset)
         text = event.text[overlap:]
         self.delivered_characters += len(text)
         return text
 
-    def _join_tokens(self, attempt, event):
+    def _append_tokens(self, attempt, event):
         overlap = max(0, self.position - event.position)
         self.token_ids.extend(event.token_ids[overlap:])
 
 
 def run_machine(generation: type[Generation], examples: int = 300) -> None:
-    class Machine(SeamMachine):
+    class Machine(GenerationMachine):
         generation_class = generation
 
     run_state_machine_as_test(
@@ -165,16 +172,16 @@
     )
 
 
-class TestSeamMachine:
-    def test_answers_are_whole(self):
+class TestGenerationMachine:
+    def test_answers_are_complete(self):
         run_machine(Generation)
 
     @pytest.mark.parametrize("broken", [Unchecked, Gapped])
-    def test_the_machine_catches_a_broken_join(self, broken):
+    def test_the_machine_detects_broken_resume_checks(self, broken):
         with pytest.raises(AssertionError):
             run_machine(broken)
 
-    def test_a_late_attempt_that_disagrees_is_caught_by_the_fence_alone(self):
+    def test_only_the_fence_rejects_differing_tokens_of_a_late_attempt(self):
         generation = make_generation()
         broken = Unfenced(request=generation.request)
         for target in (generation, broken):
--- a/tests/test_handle.py
+++ b/tests/test_handle.py
@@ -1,4 +1,4 @@
-"""Resume handles."""
+"""Signing, verification and key rotation of resume handles."""
 
 import pytest
 
@@ -29,7 +29,7 @@
 
 
 class TestHandleSigner:
-    def test_a_handle_opens_to_what_was_written(self):
+    def test_an_opened_handle_has_the_values_written(self):
         point = make_signer().open(write(make_signer()), binding=BINDING)
         assert point.stream == STREAM
         assert (point.position, point.characters) == (10, 25)
@@ -49,17 +49,17 @@
             with pytest.raises(HandleError):
                 make_signer().open(forged, binding=BINDING)
 
-    @pytest.mark.parametrize("junk", ["", "k1", "k1..", "é.é", "k1." + "x" * 9999])
-    def test_junk_is_refused(self, junk):
+    @pytest.mark.parametrize("malformed", ["", "k1", "k1..", "é.é", "k1." + "x" * 9999])
+    def test_a_malformed_handle_is_refused(self, malformed):
         with pytest.raises(HandleError):
-            make_signer().open(junk, binding=BINDING)
+            make_signer().open(malformed, binding=BINDING)
 
-    def test_a_rotated_key_still_opens_until_it_is_retired(self):
+    def test_a_former_key_opens_handles_until_it_is_retired(self):
         handle = write(make_signer("k1"))
         assert make_signer("k2", "k1").open(handle, binding=BINDING)
         with pytest.raises(HandleError, match="retired"):
             make_signer("k2").open(handle, binding=BINDING)
 
-    def test_the_active_key_must_be_there(self):
+    def test_a_missing_active_key_is_an_error(self):
         with pytest.raises(ValueError, match="k9"):
             HandleSigner(keys_by_id={"k1": b"x"}, active_key="k9")
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs: accepted, run, collected anywhere, taken over."""
+"""Jobs: submitted at one host, collected at any, and taken over from dead hosts."""
 
 import http.client
 import json
@@ -51,20 +51,22 @@
         assert answer["id"] == job
         assert answer["choices"][0]["message"]["content"] == EXPECTED
 
-    def test_a_job_whose_host_died_is_run_where_it_is_asked_for(self, system: System):
+    def test_a_job_of_a_dead_host_is_run_by_the_host_that_is_asked(
+        self, system: System
+    ):
         job = submit(system, "entry-a")
         system["entry-a"].kill()
         answer = collect(system, "entry-b", job)
         assert answer["choices"][0]["message"]["content"] == EXPECTED
 
-    def test_the_command_line_collects_it(self, system: System):
+    def test_the_command_line_collects_a_job(self, system: System):
         job = submit(system, "entry-a")
         words = ["generation", "collect", job, "--watch", "--token", system.token]
         result = CliRunner().invoke(main, [*words, "--host", system.url("entry-b")])
         assert result.exit_code == 0
         assert result.output == EXPECTED + "\n"
 
-    def test_another_workspace_sees_nothing(self, system: System):
+    def test_another_workspace_cannot_collect_a_job(self, system: System):
         other = system.processes.add_workspace("other")
         system.processes.wait_ready()
         job = submit(system, "entry-a")
@@ -73,7 +75,7 @@
         )
         assert (status, answer["error"]["code"]) == (404, "unknown_generation")
 
-    def test_without_the_platform_a_job_is_not_accepted(self, system: System):
+    def test_a_job_is_rejected_while_the_platform_is_unreachable(self, system: System):
         system.processes.platform.control(outage=True)
         body = {"model": "drafting", "messages": [{"role": "user", "content": "x"}]}
         status, answer = call(system, "entry-a", "POST", "/v1/chat/completions", body)
--- a/tests/test_survival.py
+++ b/tests/test_survival.py
@@ -1,4 +1,4 @@
-"""Answers survive engines and entry hosts that die, with real signals."""
+"""Answers complete although engines and entry hosts are killed or frozen by signals."""
 
 import contextlib
 import signal
@@ -16,7 +16,7 @@
 )
 
 
-def assert_whole(answer) -> None:
+def assert_complete(answer) -> None:
     assert answer.error is None
     assert answer.text == EXPECTED
     assert answer.reported == 1
@@ -26,7 +26,7 @@
     def test_a_killed_engine(self, system: System):
         kill = At(100, lambda: system.busy_engine().kill())
         answer = system.chat("entry-a", on_event=kill)
-        assert_whole(answer)
+        assert_complete(answer)
         assert kill.done and answer.connections == 1
 
     def test_two_engines_killed_within_one_answer(self, system: System):
@@ -38,7 +38,7 @@
             second(answer)
 
         answer = system.chat("entry-a", on_event=watch)
-        assert_whole(answer)
+        assert_complete(answer)
         assert second.done
 
     def test_a_frozen_engine_that_wakes_up(self, system: System):
@@ -58,25 +58,27 @@
             at_wake(answer)
 
         answer = system.chat("entry-a", on_event=watch)
-        assert_whole(answer)
+        assert_complete(answer)
         assert at_wake.done
         assert answer.longest_gap < 5
 
     def test_a_connection_dropped_within_an_event(self, system: System):
         drop = At(1, lambda: system.busy_engine().control(drop_at=100))
         answer = system.chat("entry-a", on_event=drop)
-        assert_whole(answer)
+        assert_complete(answer)
         generated = sum(engine.counts()["requests"] for engine in system.engines)
-        assert generated == 1, "the engine still held the stream"
+        assert generated == 1, "the engine still had the stream"
 
-    def test_a_sampling_engine_goes_on_behind_its_prefix(self, system: System):
+    def test_a_sampled_answer_continues_after_its_delivered_prefix(
+        self, system: System
+    ):
         kill = At(100, lambda: system.busy_engine().kill())
         answer = system.chat("entry-a", on_event=kill, temperature=1.0)
         assert kill.done
         assert answer.text.lower() == EXPECTED.lower()
         assert answer.text != EXPECTED
 
-    def test_usage_is_counted_once_over_the_seam(self, system: System):
+    def test_usage_is_counted_once_over_two_attempts(self, system: System):
         undisturbed = system.chat("entry-a", stream_options={"include_usage": True})
         kill = At(100, lambda: system.busy_engine().kill())
         answer = system.chat(
@@ -85,7 +87,7 @@
         assert kill.done
         assert answer.usage == undisturbed.usage
 
-    def test_max_tokens_and_stop_go_on_over_the_seam(self, system: System):
+    def test_max_tokens_and_stop_apply_over_two_attempts(self, system: System):
         kill = At(100, lambda: system.busy_engine().kill())
         answer = system.chat("entry-a", on_event=kill, max_tokens=300)
         assert answer.finish_reason == "length"
@@ -96,7 +98,9 @@
         assert kill.done
         assert answer.text == EXPECTED[: EXPECTED.index(stop)]
 
-    def test_a_prompt_that_kills_engines_does_not_walk_the_fleet(self, system: System):
+    def test_a_prompt_that_crashes_engines_does_not_crash_the_whole_fleet(
+        self, system: System
+    ):
         for engine in system.engines:
             engine.control(die_at=50, only="poison")
         answer = system.chat("entry-a", prompt="poison " * 100)
@@ -106,7 +110,7 @@
 
 
 class TestCallers:
-    def test_a_caller_that_leaves_frees_the_engine(self, system: System):
+    def test_the_engine_is_freed_when_the_caller_leaves(self, system: System):
         class LeftError(Exception):
             pass
 
@@ -123,15 +127,15 @@
 
 
 class TestEntryHostLoss:
-    def test_the_caller_goes_on_at_another_host(self, system: System):
+    def test_the_caller_resumes_at_another_host(self, system: System):
         kill = At(100, lambda: system["entry-a"].kill())
         answer = system.chat("entry-a", "entry-b", on_event=kill)
-        assert_whole(answer)
+        assert_complete(answer)
         assert answer.connections == 2
         generated = sum(engine.counts()["requests"] for engine in system.engines)
-        assert generated == 1, "the engine still held the stream"
+        assert generated == 1, "the engine still had the stream"
 
-    def test_host_and_engine_die_at_once_under_copies(self, system: System):
+    def test_host_and_engine_die_at_once_with_copies(self, system: System):
         system.processes.put_config("services", "drafting", COPIED)
         system.processes.wait_ready()
 
@@ -141,7 +145,7 @@
 
         kill = At(300, kill_both)
         answer = system.chat("entry-a", "entry-b", on_event=kill)
-        assert_whole(answer)
+        assert_complete(answer)
         assert answer.connections == 2
 
     def test_host_and_engine_die_at_once_without_copies(self, system: System):
