--- a/passtally/cli.py
+++ b/passtally/cli.py
@@ -1,4 +1,4 @@
-"""The command line: the daemon, and the operators' client."""
+"""The command line: the daemon, and the operators' commands."""
 
 import sys
 from typing import Any
@@ -62,7 +62,7 @@
         sys.exit(EXIT_USAGE)
     signals = StopSignals()
     signals.catch()
-    # Imported late: the operators' commands must not pay for the daemon.
+    # Imported here so that the operators' commands start without the daemon's modules.
     from passtally.daemon import run_daemon
 
     run_daemon(settings, signals)
@@ -70,9 +70,15 @@
 
 @main.command("trace")
 @click.argument("request_id", metavar="REQUEST_ID")
-@click.option("--log", "log", type=click.File(), default="-", help="A host's log.")
+@click.option(
+    "--log",
+    "log",
+    type=click.File(),
+    default="-",
+    help="The log of a host, or - for standard input.",
+)
 def trace_command(request_id: str, log: Any) -> None:
-    """Tell one request's story from a log; exit 1 if it is not in there."""
+    """Print the log lines of a request, in order; exit 1 if there are none."""
     found = False
     for line in trace(log, request_id):
         found = True
@@ -85,5 +91,5 @@
 @main.command()
 @click.argument("page", type=click.Choice(sorted(PAGES)))
 def reference(page: str) -> None:
-    """Print a page of docs/ that is made from the code."""
+    """Print a page of docs/ that is generated from the code."""
     click.echo(PAGES[page](), nl=False)
--- a/passtally/clock.py
+++ b/passtally/clock.py
@@ -1,4 +1,4 @@
-"""The clock that every decision is handed."""
+"""Clocks that are passed to all code that depends on time."""
 
 import asyncio
 import time
@@ -7,31 +7,31 @@
 
 
 class Clock(Protocol):
-    """Where decisions read the time."""
+    """Source of wall clock time, monotonic time and sleeps."""
 
     def now(self) -> datetime:
-        """Return the wall clock's time, in UTC. It may jump."""
+        """Return the wall clock time, in UTC. It may jump."""
 
     def monotonic(self) -> timedelta:
-        """Return the time since an arbitrary start. It never goes back."""
+        """Return the time since an arbitrary start. It never decreases."""
 
     async def sleep(self, duration: timedelta) -> None:
         """Return once a duration has passed."""
 
 
 class SystemClock:
-    """The machine's own clock.
+    """The operating system's clocks.
 
-    The monotonic reading counts the time a machine was suspended, so that a
-    holder that slept knows that its lease lapsed.
+    The monotonic time includes time in which the host was suspended, so that a lease
+    holder notices after a suspension that its lease lapsed.
     """
 
     def now(self) -> datetime:
-        """Return the wall clock's time, in UTC."""
+        """Return the wall clock time, in UTC."""
         return datetime.now(UTC)
 
     def monotonic(self) -> timedelta:
-        """Return the time since boot, suspension included."""
+        """Return the time since boot, including suspension."""
         return timedelta(seconds=time.clock_gettime(time.CLOCK_BOOTTIME))
 
     async def sleep(self, duration: timedelta) -> None:
@@ -40,10 +40,10 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to, for tests and benchmarks.
+    """A clock that is advanced by hand, for tests and benchmarks.
 
     Args:
-        start: The wall clock's first reading.
+        start: The initial wall clock time.
     """
 
     def __init__(self, *, start: datetime = datetime(2026, 1, 1, tzinfo=UTC)) -> None:
@@ -51,23 +51,23 @@
         self._monotonic = timedelta(0)
 
     def now(self) -> datetime:
-        """Return the wall clock's time, in UTC."""
+        """Return the wall clock time, in UTC."""
         return self._now
 
     def monotonic(self) -> timedelta:
-        """Return the time since this clock was made."""
+        """Return the time by which this clock was advanced since its creation."""
         return self._monotonic
 
     async def sleep(self, duration: timedelta) -> None:
-        """Move forward by the duration, and let other tasks run."""
+        """Advance by the duration, then let other tasks run once."""
         self.advance(duration)
         await asyncio.sleep(0)
 
     def advance(self, by: timedelta) -> None:
-        """Move both readings forward.
+        """Advance the wall clock and the monotonic time.
 
         Args:
-            by: How far; not negative.
+            by: The duration, not negative.
         """
         self._now += by
         self._monotonic += by
--- a/passtally/executor.py
+++ b/passtally/executor.py
@@ -1,4 +1,4 @@
-"""Carries out confirmed intents, step by step, on whichever host holds the lease."""
+"""Executes the steps of confirmed intents on the host that holds the lease."""
 
 import asyncio
 import hashlib
@@ -18,40 +18,42 @@
 from passtally.orders import FencedError, OrderError, Orders
 
 LEASE_KEY = "leases/executor"
-STEP_POLL = timedelta(milliseconds=500)
-#: An endpoint must stay without requests for this long: hosts learn of a drain
-#: within it, also through an outage of their watch.
-IDLE_FOR = timedelta(seconds=5)
-#: How long an endpoint that does not answer is asked before the step fails.
-ORDER_PATIENCE = timedelta(seconds=60)
-#: A plain call ends within its time limit; then a drained endpoint is idle.
-PLAIN_IDLE_AFTER = timedelta(seconds=35)
-#: How long an older holder's order to an endpoint that checks no fence is awaited.
-UNFENCED_WAIT = 2 * LEASE_LENGTH
-ROLE_TRIES = 3
+STEP_POLL_INTERVAL = timedelta(milliseconds=500)
+#: Minimum time without requests before a draining endpoint counts as idle. All hosts
+#: receive the drain within 5 s, even if their watch fails, and send no new requests.
+MIN_IDLE_TIME = timedelta(seconds=5)
+#: Time for which an order or report that fails is retried before its step fails.
+ORDER_RETRY_TIME = timedelta(seconds=60)
+#: Wait after a plain service's endpoint starts to drain. Then it is idle, as each
+#: plain call has ended or reached its time limit.
+PLAIN_DRAIN_TIME = timedelta(seconds=35)
+#: Wait after an order to an endpoint that does not check fencing numbers. A late order
+#: of a former lease holder arrives within it and is noticed when the role is verified.
+LATE_ORDER_WAIT = 2 * LEASE_LENGTH
+MAX_ROLE_ATTEMPTS = 3
 MAX_RANK = 30
 
 
 class StepFailedError(Exception):
-    """A step that can't be done safely; its intent stops there."""
+    """Raised when a step cannot be done safely; its intent fails at this step."""
 
 
 class LeaseLostError(Exception):
-    """This host may no longer act; another one goes on."""
+    """Raised when this host lost its lease, or the intent was cancelled."""
 
 
 class Executor:
-    """Carries out the intents of the ledger while it holds the lease.
+    """Executes the intents in the ledger while this host holds the lease.
 
     Args:
-        host_id: This host's name.
-        host_ids: The names of all hosts that may carry out intents.
-        store: Where intents are kept.
-        catalog: The configuration in force, the ledger included.
-        fleet: The endpoints.
-        orders: The way to the endpoints' orders.
-        lease: The lease.
-        clock: The clock.
+        host_id: The local host's name.
+        host_ids: The names of all hosts that may execute intents.
+        store: The store of intents and configuration objects.
+        catalog: The active configuration, including the ledger.
+        fleet: The endpoints and their engines, for probes.
+        orders: The client that sends orders to endpoints.
+        lease: The lease that lets one host at a time execute intents.
+        clock: The clock for deadlines and waits.
     """
 
     def __init__(
@@ -77,26 +79,29 @@
         self._tasks_by_intent: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Look for work, for ever; the lease is held only while there is some."""
+        """Poll the ledger forever; hold the lease only while it has entries."""
         while True:
             if self._catalog.ledger.entries:
-                await self._work()
+                await self._start_tasks()
             else:
                 await self._lease.release()
-            pause = RENEW_INTERVAL if self._lease.is_held else self._pause()
+            pause = RENEW_INTERVAL if self._lease.is_held else self._poll_interval()
             await self._clock.sleep(pause)
 
-    async def _work(self) -> None:
+    async def _start_tasks(self) -> None:
         if not await self._lease.try_hold():
             return
         for entry in self._catalog.ledger.entries:
             running = self._tasks_by_intent.get(entry.intent)
             if running is None or running.done():
-                task = asyncio.create_task(self._carry_out(entry.intent))
+                task = asyncio.create_task(self._execute(entry.intent))
                 self._tasks_by_intent[entry.intent] = task
 
-    def _pause(self) -> timedelta:
-        """Return how long to wait: hosts of a low rank look more seldom."""
+    def _poll_interval(self) -> timedelta:
+        """Return the interval until the next poll while the lease is not held.
+
+        It grows with the host's rank, so that few hosts compete for the lease at once.
+        """
 
         def digest(host: str) -> bytes:
             return hashlib.blake2b(host.encode(), digest_size=8).digest()
@@ -104,17 +109,19 @@
         rank = sorted(self._host_ids, key=digest).index(self._host_id)
         return RENEW_INTERVAL * (1 + min(rank, MAX_RANK))
 
-    async def _carry_out(self, intent_id: str) -> None:
+    async def _execute(self, intent_id: str) -> None:
         try:
             while await self._advance(intent_id):
                 continue
         except LeaseLostError:
             log_event("intent", "Lease lost, stopping.", intent=intent_id)
         except (PlatformError, FencedError) as error:
-            log_event("intent", "Paused.", intent=intent_id, why=error)
+            log_event(
+                "intent", "Interrupted, will resume.", intent=intent_id, why=error
+            )
 
     async def _advance(self, intent_id: str) -> bool:
-        """Do the next step of an intent; return whether there may be more."""
+        """Run the next step of an intent; return whether more steps may follow."""
         self._check_lease()
         found = await self._store.get_intent(intent_id)
         is_open = found is not None and found[0].state in (
@@ -130,18 +137,21 @@
             await self._end(intent, version, "finish", "")
             return False
         try:
-            await self._do_step(intent, version, index)
+            await self._run_step(intent, version, index)
         except StepFailedError as error:
             await self._fail(intent_id, str(error))
             return False
         except ConflictError:
-            log_event("intent", "Changed meanwhile, reading again.", intent=intent_id)
+            log_event(
+                "intent", "Changed by another writer, reading again.", intent=intent_id
+            )
         return True
 
-    async def _do_step(self, intent: Intent, version: int, index: int) -> None:
-        """Write that a step is begun, do it, write that it is done."""
+    async def _run_step(self, intent: Intent, version: int, index: int) -> None:
+        """Record a step as started, perform it, then record it as done."""
         if intent.state is IntentState.PLANNED:
-            # It is in the ledger: the confirming host died before it wrote so.
+            # The intent is in the ledger, so it was confirmed: the confirming host died
+            # after changing the ledger and before storing the new state.
             intent = intent.after("confirm")
         begun = attrs.evolve(
             intent.with_step(index, StepState.STARTED),
@@ -201,7 +211,14 @@
     def _expected_version(
         self, intent: Intent, index: int, step: Step, stored: StoredObject | None
     ) -> int:
-        """Return the version to write over: the planned one, or this plan's own."""
+        """Return the stored version, checked against the plan, for a conditional write.
+
+        It must be the version that the plan was made from, or hold a value that an
+        earlier step of this plan wrote.
+
+        Raises:
+            StepFailedError: Another writer changed the object.
+        """
         if stored is None:
             if intent.plan.versions_by_key.get(step.key, 0):
                 raise _changed(step)
@@ -217,7 +234,7 @@
         return stored.version
 
     async def _order(self, intent: Intent, step: Step, kind: str) -> None:
-        deadline = self._clock.monotonic() + ORDER_PATIENCE
+        deadline = self._clock.monotonic() + ORDER_RETRY_TIME
         while True:
             try:
                 await self._orders.send_order(
@@ -234,7 +251,7 @@
                 await self._wait_or_fail(intent, deadline, str(error))
 
     async def _wait_loaded(self, intent: Intent, step: Step) -> None:
-        deadline = self._clock.monotonic() + ORDER_PATIENCE
+        deadline = self._clock.monotonic() + ORDER_RETRY_TIME
         deadline += 3 * timedelta(seconds=step.seconds)
         while True:
             try:
@@ -249,18 +266,26 @@
     async def _set_role(self, intent: Intent, step: Step) -> None:
         """Order a role and verify it.
 
-        An endpoint that checks no fence may still get an order of an older holder:
-        after a wait in which that would arrive, its role is looked at again.
+        An endpoint that does not check fencing numbers may still apply a late order of
+        a former lease holder. Its role is therefore verified only after such an order
+        would have arrived, and ordered again if it differs.
         """
-        for _ in range(ROLE_TRIES):
+        for _ in range(MAX_ROLE_ATTEMPTS):
             await self._order(intent, step, "role")
             if not self._find_endpoint(step).checks_fencing:
-                await self._wait(intent, UNFENCED_WAIT)
+                await self._wait(intent, LATE_ORDER_WAIT)
             role = await self._read_role(step)
             if role == step.value:
                 return
-            log_event("intent", "Role was overruled.", peer=step.endpoint, role=role)
-        raise StepFailedError(f"{step.endpoint} has the role {role}")
+            log_event(
+                "intent",
+                "Another order changed the role.",
+                peer=step.endpoint,
+                role=role,
+            )
+        raise StepFailedError(
+            f"{step.endpoint} reports the role {role} after repeated orders"
+        )
 
     async def _read_role(self, step: Step) -> str:
         try:
@@ -270,13 +295,13 @@
         return report.role
 
     async def _wait_idle(self, intent: Intent, step: Step) -> None:
-        """Wait until no request is left, however long the last one runs."""
+        """Wait until an endpoint is idle, without a limit on its last request."""
         endpoint = self._catalog.endpoints_by_id.get(step.endpoint)
         if endpoint is None:
             return
         service = self._catalog.services_by_id.get(endpoint.service)
         if service is not None and service.kind is ServiceKind.PLAIN:
-            await self._wait(intent, PLAIN_IDLE_AFTER)
+            await self._wait(intent, PLAIN_DRAIN_TIME)
             return
         idle_since: timedelta | None = None
         while True:
@@ -285,14 +310,14 @@
                 idle_since = None
             elif idle_since is None:
                 idle_since = now
-            elif now - idle_since >= IDLE_FOR:
+            elif now - idle_since >= MIN_IDLE_TIME:
                 return
-            await self._wait(intent, STEP_POLL)
+            await self._wait(intent, STEP_POLL_INTERVAL)
 
     async def _is_busy(self, endpoint: Endpoint) -> bool:
         live = self._fleet.find(endpoint.id)
         report = await live.engine.probe() if live is not None else None
-        # One that answers nothing for the whole time has no request left either.
+        # An endpoint that answers no probe for MIN_IDLE_TIME has no request left.
         return report is not None and report.running + report.queued > 0
 
     async def _wait_or_fail(
@@ -300,21 +325,25 @@
     ) -> None:
         if self._clock.monotonic() >= deadline:
             raise StepFailedError(reason)
-        await self._wait(intent, STEP_POLL)
+        await self._wait(intent, STEP_POLL_INTERVAL)
 
     async def _wait(self, intent: Intent, duration: timedelta) -> None:
-        """Wait within a step, unless the lease is lost or the intent cancelled."""
+        """Wait within a step.
+
+        Raises:
+            LeaseLostError: The lease was lost or the intent was cancelled.
+        """
         until = self._clock.monotonic() + duration
         while self._clock.monotonic() < until:
             self._check_lease()
             if not self._catalog.ledger.has(intent.id):
                 raise LeaseLostError
-            await self._clock.sleep(min(duration, STEP_POLL))
+            await self._clock.sleep(min(duration, STEP_POLL_INTERVAL))
 
     def _find_endpoint(self, step: Step) -> Endpoint:
         endpoint = self._catalog.endpoints_by_id.get(step.endpoint)
         if endpoint is None:
-            raise StepFailedError(f"{step.endpoint} is gone")
+            raise StepFailedError(f"{step.endpoint} was removed from the configuration")
         return endpoint
 
     def _check_lease(self) -> None:
--- a/passtally/intent.py
+++ b/passtally/intent.py
@@ -1,4 +1,4 @@
-"""Intents: what an operator wants, the plan for it, and how far it is."""
+"""Intents: changes that operators declare, with their plans and their progress."""
 
 import secrets
 from collections.abc import Mapping
@@ -10,13 +10,14 @@
 from passtally.statechart import follow
 
 INTENTS_PREFIX = "intents/"
-#: Names the intents under way and what they touch; one conditional update of it
-#: decides which of two racing operators wins.
+#: Key of the ledger, which lists the active intents and the objects that they change.
+#: Of two operators that confirm conflicting intents at once, one wins: each confirms
+#: by a conditional update of this object.
 LEDGER_KEY = "config/control/ledger"
 
 
 class IntentKind(StrEnum):
-    """What an operator can want."""
+    """The changes that an operator can declare."""
 
     PUT_SERVICE = "put-service"
     REMOVE_SERVICE = "remove-service"
@@ -29,7 +30,7 @@
 
 
 class IntentState(StrEnum):
-    """How far an intent is; the chart ``plan.yaml`` says what may follow."""
+    """State of an intent; the chart ``plan.yaml`` defines the transitions."""
 
     PLANNED = "planned"
     CONFIRMED = "confirmed"
@@ -39,24 +40,24 @@
 
 
 class StepKind(StrEnum):
-    """What one step does."""
+    """The action of a step."""
 
-    #: Order an endpoint to load weights; harmless when late or repeated.
+    #: Order an endpoint to load weights; a late or repeated order does no harm.
     LOAD = "load"
-    #: Wait until an endpoint reports what it was ordered to load.
+    #: Wait until an endpoint reports the ordered version as loaded.
     VERIFY = "verify"
     #: Replace a configuration object.
     PUT = "put"
     #: Remove a configuration object.
     REMOVE = "remove"
-    #: Wait until an endpoint has no request left.
+    #: Wait until an endpoint has no running or queued request.
     WAIT_IDLE = "wait-idle"
     #: Order an endpoint to change its role.
     SET_ROLE = "set-role"
 
 
 class StepState(StrEnum):
-    """How far a step is. It is written before it is begun."""
+    """State of a step. ``STARTED`` is stored before the step is performed."""
 
     PENDING = "pending"
     STARTED = "started"
@@ -68,14 +69,14 @@
     """One step of a plan.
 
     Attributes:
-        kind: What it does.
-        why: Why it is there, for the operator.
-        endpoint: The endpoint it concerns, or empty.
-        key: The configuration object that it writes, or empty.
-        value: What it writes, loads or sets.
-        seconds: How long it is expected to take.
-        streams: How many open requests it affects.
-        state: How far it is.
+        kind: The action.
+        why: The reason for the step, shown to operators.
+        endpoint: The id of the affected endpoint, or empty.
+        key: The key of the configuration object that is written, or empty.
+        value: The object's new value, the version to load, or the role to set.
+        seconds: The expected duration, in seconds.
+        streams: The number of open requests affected.
+        state: The current state.
     """
 
     kind: StepKind
@@ -90,13 +91,14 @@
 
 @attrs.frozen(kw_only=True)
 class Plan:
-    """What will happen, in order, and on which view it rests.
+    """The steps of an intent, and the object versions from which it was made.
 
     Attributes:
-        steps: The steps.
-        versions_by_key: The versions of all objects that it was made from.
-        capacity_before: Places for requests by service, before.
-        capacity_after: The same, after.
+        steps: The steps, in order of execution.
+        versions_by_key: The version of each object that the plan depends on, 0 for an
+            object that did not exist.
+        capacity_before: The number of concurrent requests per service before the plan.
+        capacity_after: The number of concurrent requests per service after the plan.
     """
 
     steps: tuple[Step, ...]
@@ -106,7 +108,7 @@
 
     @property
     def touched(self) -> frozenset[str]:
-        """The keys and endpoints that it changes."""
+        """Keys of the written objects, and ``endpoint:ID`` of the ordered endpoints."""
         keys = {step.key for step in self.steps if step.key}
         ordered = {f"endpoint:{step.endpoint}" for step in self.steps if step.endpoint}
         return frozenset(keys | ordered)
@@ -114,17 +116,17 @@
 
 @attrs.frozen(kw_only=True)
 class Intent:
-    """One intent as the platform keeps it.
+    """An intent as stored in the platform.
 
     Attributes:
-        id: Its name.
-        kind: What is wanted.
-        params: The details, by name.
-        state: How far it is.
-        plan: The plan.
-        reason: Why it ended, if not as wanted.
-        holder: The host that carries it out.
-        fence: The fencing number under which the last step was begun.
+        id: The unique id.
+        kind: The kind of change.
+        params: The parameters of that kind, by name.
+        state: The current state.
+        plan: The plan, including the state of each step.
+        reason: The error with which the intent failed, or empty.
+        holder: The host that started the last step.
+        fence: The fencing number under which the last step was started.
     """
 
     id: str
@@ -138,14 +140,14 @@
 
     @property
     def key(self) -> str:
-        """Where the platform keeps it."""
+        """The platform key under which the intent is stored."""
         return INTENTS_PREFIX + self.id
 
     def after(self, event: str, **changes: object) -> "Intent":
         """Return this intent after an event of the chart ``plan.yaml``.
 
         Raises:
-            IllegalTransitionError: The chart allows no such event now.
+            IllegalTransitionError: The chart does not allow the event in this state.
         """
         state = IntentState(follow("plan", self.state, event))
         return attrs.evolve(self, state=state, **changes)
@@ -164,18 +166,18 @@
         return attrs.evolve(self, plan=attrs.evolve(self.plan, steps=tuple(steps)))
 
     def to_json(self) -> bytes:
-        """Return its value in the platform."""
+        """Return the value to store in the platform."""
         return msgspec.json.encode(self)
 
 
 @attrs.frozen(kw_only=True)
 class LedgerEntry:
-    """One intent under way.
+    """An active intent: confirmed and not yet ended.
 
     Attributes:
-        intent: Its id.
-        touched: The keys and endpoints that it changes.
-        read: The keys that its plan rests on.
+        intent: The intent's id.
+        touched: The keys and endpoints that the plan changes.
+        read: The keys that the plan depends on.
     """
 
     intent: str
@@ -185,71 +187,72 @@
 
 @attrs.frozen(kw_only=True)
 class Ledger:
-    """The intents that are confirmed and not yet ended."""
+    """The active intents of all hosts."""
 
     entries: tuple[LedgerEntry, ...] = ()
 
     def find_conflict(self, plan: Plan) -> LedgerEntry | None:
-        """Return an intent under way that changes what a plan rests on, or reverse.
+        """Return an active intent that conflicts with a plan, or None.
 
-        Two drains that each leave capacity enough may leave none together, so
-        what was read counts as well as what is changed.
+        Two plans conflict if one changes an object that the other changes or depends
+        on. Two drains that each leave enough capacity may leave none together, so
+        objects that were only read count as well.
         """
         for entry in self.entries:
-            if overlap(plan, entry):
+            if find_overlap(plan, entry):
                 return entry
         return None
 
     def has(self, intent_id: str) -> bool:
-        """Return whether an intent is under way."""
+        """Return whether an intent is active."""
         return any(entry.intent == intent_id for entry in self.entries)
 
     def add(self, intent: Intent) -> "Ledger":
-        """Return this ledger with one more intent."""
+        """Return a copy of this ledger with an intent added."""
         touched = tuple(sorted(intent.plan.touched))
         read = tuple(sorted(intent.plan.versions_by_key))
         entry = LedgerEntry(intent=intent.id, touched=touched, read=read)
         return Ledger(entries=(*self.entries, entry))
 
     def remove(self, intent_id: str) -> "Ledger":
-        """Return this ledger without an intent."""
+        """Return a copy of this ledger without an intent."""
         kept = tuple(entry for entry in self.entries if entry.intent != intent_id)
         return Ledger(entries=kept)
 
 
-def overlap(plan: Plan, entry: LedgerEntry) -> list[str]:
-    """Return the keys that one of two plans changes and the other rests on."""
-    rests_on = plan.touched | set(plan.versions_by_key)
-    changed_there = set(entry.touched)
-    both = rests_on & changed_there | plan.touched & set(entry.read)
-    return sorted(both)
+def find_overlap(plan: Plan, entry: LedgerEntry) -> list[str]:
+    """Return the keys that one of two plans changes and the other depends on."""
+    depends_on = plan.touched | set(plan.versions_by_key)
+    changed_by_entry = set(entry.touched)
+    shared = depends_on & changed_by_entry | plan.touched & set(entry.read)
+    return sorted(shared)
 
 
 def new_intent_id(kind: IntentKind) -> str:
-    """Return a new id."""
+    """Return a new id, made of the kind and a random number."""
     return f"{kind}-{secrets.token_hex(4)}"
 
 
 def read_intent(value: bytes) -> Intent:
-    """Read an intent's value.
+    """Decode a stored intent.
 
     Raises:
-        msgspec.MsgspecError: It is damaged.
+        msgspec.MsgspecError: The value is no valid intent.
     """
     return msgspec.json.decode(value, type=Intent)
 
 
 def read_ledger(value: bytes) -> Ledger:
-    """Read the ledger's value.
+    """Decode the stored ledger.
 
     Raises:
-        msgspec.MsgspecError: It is damaged.
+        msgspec.MsgspecError: The value is no valid ledger.
     """
     return msgspec.json.decode(value, type=Ledger)
 
 
 def find_stale(plan: Plan, versions_by_key: Mapping[str, int]) -> list[str]:
-    """Return the keys that changed since a plan was made."""
+    """Return the keys whose objects changed since a plan was made."""
     return sorted(
         key
         for key, version in plan.versions_by_key.items()
--- a/passtally/intents.py
+++ b/passtally/intents.py
@@ -1,4 +1,4 @@
-"""Declares, confirms and cancels intents, on behalf of operators."""
+"""Declares, confirms and cancels intents for operators."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -12,9 +12,9 @@
     IntentKind,
     IntentState,
     Ledger,
+    find_overlap,
     find_stale,
     new_intent_id,
-    overlap,
 )
 from passtally.object_store import ConflictError, PlatformError
 from passtally.outcome import Code, Outcome, RefusedError, refuse
@@ -24,12 +24,12 @@
 
 
 class Intents:
-    """The operators' side of intents; the executor carries them out.
+    """Handles operators' requests on intents; the executor runs confirmed ones.
 
     Args:
-        store: Where they are kept.
-        catalog: The configuration in force.
-        fleet: The endpoints' load.
+        store: The store of intents and of the ledger.
+        catalog: The active configuration.
+        fleet: The endpoints, for the number of their open requests.
     """
 
     def __init__(self, *, store: ConfigStore, catalog: Catalog, fleet: Fleet) -> None:
@@ -38,10 +38,10 @@
         self._fleet = fleet
 
     async def declare(self, kind: IntentKind, params: Mapping[str, str]) -> Intent:
-        """Make a plan and keep it; nothing happens before it is confirmed.
+        """Make and store a plan; it is executed only once it is confirmed.
 
         Raises:
-            RefusedError: The plan can't keep the promises, or can't be kept now.
+            RefusedError: No plan can be made, or the platform is unreachable.
         """
         try:
             plan = make_plan(kind, params, self._view())
@@ -63,10 +63,11 @@
         return intent
 
     async def confirm(self, intent_id: str) -> Intent:
-        """Let a plan be carried out. Asking again is safe.
+        """Confirm an intent, so that its plan is executed. Repeating the call is safe.
 
         Raises:
-            RefusedError: It is stale, in conflict, ended, or can't be kept now.
+            RefusedError: The plan is stale or in conflict, the intent failed, was
+                cancelled or does not exist, or the platform is unreachable.
         """
         try:
             return await self._confirm(intent_id)
@@ -77,7 +78,8 @@
         """Stop an intent before its next step.
 
         Raises:
-            RefusedError: It has ended, or can't be kept now.
+            RefusedError: The intent is done, failed or unknown, or the platform is
+                unreachable.
         """
         try:
             while True:
@@ -98,10 +100,10 @@
             raise platform_away(error) from error
 
     async def show(self, intent_id: str) -> Intent:
-        """Return one intent as it is now.
+        """Return an intent with its current state.
 
         Raises:
-            RefusedError: There is none, or the platform is away.
+            RefusedError: The intent does not exist, or the platform is unreachable.
         """
         try:
             intent, _ = await self._get(intent_id)
@@ -110,7 +112,11 @@
         return intent
 
     async def list(self) -> "list[Intent]":
-        """Return all intents; raises RefusedError where the platform is away."""
+        """Return all intents.
+
+        Raises:
+            RefusedError: The platform is unreachable.
+        """
         try:
             return await self._store.list_intents()
         except PlatformError as error:
@@ -126,13 +132,13 @@
         stale = find_stale(intent.plan, versions)
         if stale:
             raise _stale(intent, stale)
-        await self._store.change_ledger(lambda ledger: _enter(ledger, intent))
+        await self._store.change_ledger(lambda ledger: _add_to_ledger(ledger, intent))
         confirmed = intent.after("confirm")
         try:
             await self._store.put(intent.key, confirmed.to_json(), version=version)
         except ConflictError:
-            # Another confirm, or a cancel, came between; the next look tells.
-            return await self._settle(intent_id)
+            # Another confirm or a cancel changed the intent since it was read.
+            return await self._resolve_conflict(intent_id)
         log_decision(
             "place",
             request=intent.id,
@@ -142,7 +148,7 @@
         )
         return confirmed
 
-    async def _settle(self, intent_id: str) -> Intent:
+    async def _resolve_conflict(self, intent_id: str) -> Intent:
         intent, _ = await self._get(intent_id)
         if intent.state is IntentState.CANCELLED:
             await self._store.change_ledger(lambda ledger: ledger.remove(intent_id))
@@ -176,10 +182,10 @@
 
 
 def platform_away(error: PlatformError) -> RefusedError:
-    """Return the refusal for a call that the platform left open."""
+    """Return the refusal of a call whose outcome at the platform is unknown."""
     return refuse(
         Code.PLATFORM_AWAY,
-        f"The platform did not answer, so this is not settled; ask again: {error}.",
+        f"The platform did not answer; the outcome is unknown, so retry: {error}.",
         status=503,
         step=error.step,
         peer=error.peer,
@@ -188,15 +194,15 @@
     )
 
 
-def _enter(ledger: Ledger, intent: Intent) -> Ledger:
+def _add_to_ledger(ledger: Ledger, intent: Intent) -> Ledger:
     if ledger.has(intent.id):
         return ledger
     conflict = ledger.find_conflict(intent.plan)
     if conflict is not None:
-        both = overlap(intent.plan, conflict)
+        shared = find_overlap(intent.plan, conflict)
         raise refuse(
             Code.INTENT_CONFLICT,
-            f"{conflict.intent} is under way and touches {', '.join(both)}.",
+            f"The active intent {conflict.intent} conflicts in {', '.join(shared)}.",
             status=409,
             step="confirm",
             peer=conflict.intent,
@@ -207,7 +213,7 @@
 def _stale(intent: Intent, keys: "list[str]") -> RefusedError:
     return refuse(
         Code.PLAN_STALE,
-        f"Since the plan was made, {', '.join(keys)} changed; declare it again.",
+        f"{', '.join(keys)} changed since the plan was made; declare the intent again.",
         status=409,
         step="confirm",
         peer=intent.id,
--- a/passtally/log_output.py
+++ b/passtally/log_output.py
@@ -1,7 +1,7 @@
-"""Writes log lines without ever holding up the loop.
+"""Writes log lines without blocking the event loop.
 
-Lines go through a bounded queue to a thread of their own. Where the reader of the
-log is slower than the host, lines are dropped and counted, and the count is logged.
+Lines pass through a bounded queue to a writer thread. If the reader of the log is
+slower than the host, lines are dropped and counted, and the count is logged.
 """
 
 import contextlib
@@ -13,53 +13,54 @@
 
 import msgspec
 
-#: Lines that may wait. At 300 bytes each they take a third of a megabyte.
+#: Default maximum number of queued lines. At 300 bytes per line they take 0.3 MB.
 MAX_WAITING = 1000
 STANDARD_ERROR = 2
 
 
 class LogOutput:
-    """An eliot destination.
+    """An eliot destination that queues messages for its writer thread.
 
     Args:
-        stream: Where lines go.
-        most: How many lines may wait.
+        stream: The binary stream to which lines are written.
+        most: The maximum number of queued lines.
     """
 
     def __init__(self, *, stream: BinaryIO, most: int = MAX_WAITING) -> None:
+        #: Number of lines dropped since the last line that was queued.
         self.dropped = 0
         self._stream = stream
-        self._most = most
-        self._waiting: deque[bytes] = deque()
+        self._max_lines = most
+        self._queue: deque[bytes] = deque()
         self._wake = threading.Event()
         self._is_closing = False
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._thread.start()
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take one message."""
-        if len(self._waiting) >= self._most:
+        """Queue a message, or drop and count it if the queue is full."""
+        if len(self._queue) >= self._max_lines:
             self.dropped += 1
             return
         if self.dropped:
             message = message | {"dropped_lines": self.dropped}
             self.dropped = 0
-        self._waiting.append(_encode(message))
+        self._queue.append(_encode(message))
         self._wake.set()
 
     def close(self) -> None:
-        """Write what waits, within a second, and stop."""
+        """Stop the writer thread; wait up to 1 s for it to write all queued lines."""
         self._is_closing = True
         self._wake.set()
         self._thread.join(timeout=1)
 
     def _run(self) -> None:
-        while not self._is_closing or self._waiting:
+        while not self._is_closing or self._queue:
             self._wake.wait()
             self._wake.clear()
             lines = []
-            while self._waiting:
-                lines.append(self._waiting.popleft())
+            while self._queue:
+                lines.append(self._queue.popleft())
             if lines:
                 self._write(b"".join(lines))
 
@@ -67,17 +68,18 @@
         rest = memoryview(data)
         try:
             while rest:
-                # A stream without a buffer may take a part of it.
+                # An unbuffered stream may write only a part of the data.
                 written = self._stream.write(rest)
                 if written is None:
-                    raise BlockingIOError(errno.EAGAIN, "the stream is full")
+                    raise BlockingIOError(errno.EAGAIN, "the log stream is full")
                 rest = rest[written:]
             self._stream.flush()
         except OSError as error:
-            # There is nowhere else to tell it, and standard error may be gone too: a
-            # line that waits in its buffer would make the process end as failed.
+            # Standard error is the only place left to report this, and it may be closed
+            # as well. It is written without a buffer: a line left in the buffer of
+            # sys.stderr would fail to be flushed at exit and change the exit code.
             with contextlib.suppress(OSError):
-                line = f"passtally: the log can't be written: {error}\n"
+                line = f"passtally: cannot write the log: {error}\n"
                 os.write(STANDARD_ERROR, line.encode())
 
 
--- a/passtally/operator_api.py
+++ b/passtally/operator_api.py
@@ -29,14 +29,14 @@
 
 
 class OperatorApi:
-    """Handles what operators ask of a host.
+    """Handles the HTTP requests of operators.
 
     Args:
-        token: The operators' token; empty refuses everyone.
-        store: Where configuration is written.
-        intents: Declares and confirms intents.
-        status: Tells the state of the hosts.
-        guard: Refuses requests that end their endpoints.
+        token: The operators' token; if empty, every request is refused.
+        store: The store to which configuration is written.
+        intents: Declares, confirms and cancels intents.
+        status: Reads the state of this host, its peers and its endpoints.
+        guard: The guard that quarantines requests which crash their endpoints.
     """
 
     def __init__(
@@ -70,28 +70,28 @@
             ("POST", "/intents/{id}/confirm", self.confirm),
             ("POST", "/intents/{id}/cancel", self.cancel),
         ):
-            app.router.add_route(method, PREFIX + path, self._guard(handler))
+            app.router.add_route(method, PREFIX + path, self._require_token(handler))
 
     async def show_status(self, request: web.Request) -> web.Response:
         """Answer with the state of this host and its peers."""
-        return _answer(await self._status.read())
+        return _json_response(await self._status.read())
 
     async def list_objects(self, request: web.Request) -> web.Response:
-        """Answer with all objects of a kind, as this host has them in force."""
+        """Answer with all objects of a kind that are active on this host."""
         kind = _kind_of(request)
-        return _answer(self._status.objects(kind))
+        return _json_response(self._status.objects(kind))
 
     async def get_object(self, request: web.Request) -> web.Response:
-        """Answer with one object as this host has it in force."""
+        """Answer with one object, in the version active on this host."""
         kind = _kind_of(request)
         object_id = request.match_info["id"]
         found = self._status.objects(kind).get(object_id)
         if found is None:
             raise _unknown_object(kind, object_id)
-        return _answer(found)
+        return _json_response(found)
 
     async def put_object(self, request: web.Request) -> web.Response:
-        """Accept an object: it is answered only once the platform has it."""
+        """Write an object; answer only once the platform has stored it."""
         kind = _kind_of(request)
         object_id = request.match_info["id"]
         raw = await request.read()
@@ -104,7 +104,7 @@
             raise _version_conflict(kind, object_id) from error
         except PlatformError as error:
             raise platform_away(error) from error
-        return _answer({"accepted": True, "version": version})
+        return _json_response({"accepted": True, "version": version})
 
     async def remove_object(self, request: web.Request) -> web.Response:
         """Remove an object."""
@@ -118,20 +118,20 @@
             raise _version_conflict(kind, object_id) from error
         except PlatformError as error:
             raise platform_away(error) from error
-        return _answer({"accepted": True})
+        return _json_response({"accepted": True})
 
     async def list_quarantined(self, request: web.Request) -> web.Response:
-        """Answer with the requests that are refused, and the endpoints that ended."""
-        held = self._crash_guard.held()
-        return _answer(
+        """Answer with each quarantined request and the endpoints that it crashed."""
+        suspects = self._crash_guard.held()
+        return _json_response(
             [
                 {"id": suspect.fingerprint.hex(), "ended": suspect.open_crashes}
-                for suspect in held
+                for suspect in suspects
             ]
         )
 
     async def lift(self, request: web.Request) -> web.Response:
-        """Take a request again, at all hosts."""
+        """Lift the quarantine of a request on all hosts."""
         request_id = request.match_info["id"]
         try:
             is_lifted = self._crash_guard.lift(bytes.fromhex(request_id))
@@ -139,43 +139,43 @@
             is_lifted = False
         if not is_lifted:
             raise _unknown_object("quarantined requests", request_id)
-        return _answer({"accepted": True})
+        return _json_response({"accepted": True})
 
     async def declare(self, request: web.Request) -> web.Response:
-        """Make a plan."""
+        """Declare an intent and answer with its plan."""
         try:
             wanted = msgspec.json.decode(await request.read(), type=_Declaration)
         except msgspec.MsgspecError as error:
             raise refuse(
                 Code.BAD_REQUEST, str(error), status=400, step="parse"
             ) from error
-        return _answer(await self._intents.declare(wanted.kind, wanted.params))
+        return _json_response(await self._intents.declare(wanted.kind, wanted.params))
 
     async def list_intents(self, request: web.Request) -> web.Response:
         """Answer with all intents."""
-        return _answer(await self._intents.list())
+        return _json_response(await self._intents.list())
 
     async def show_intent(self, request: web.Request) -> web.Response:
-        """Answer with one intent."""
-        return _answer(await self._intents.show(request.match_info["id"]))
+        """Answer with one intent and its current state."""
+        return _json_response(await self._intents.show(request.match_info["id"]))
 
     async def confirm(self, request: web.Request) -> web.Response:
-        """Confirm a plan."""
-        return _answer(await self._intents.confirm(request.match_info["id"]))
+        """Confirm an intent, so that its plan is executed."""
+        return _json_response(await self._intents.confirm(request.match_info["id"]))
 
     async def cancel(self, request: web.Request) -> web.Response:
-        """Cancel an intent."""
-        return _answer(await self._intents.cancel(request.match_info["id"]))
+        """Stop an intent before its next step."""
+        return _json_response(await self._intents.cancel(request.match_info["id"]))
 
-    def _guard(self, handler: Handler) -> Handler:
+    def _require_token(self, handler: Handler) -> Handler:
         async def check(request: web.Request) -> web.Response:
             token = read_token(request)
-            brought = (token or "").encode()
-            known = hmac.compare_digest(brought, self._token.encode())
-            if token is None or not self._token or not known:
+            presented = (token or "").encode()
+            is_valid = hmac.compare_digest(presented, self._token.encode())
+            if token is None or not self._token or not is_valid:
                 raise refuse(
                     Code.UNAUTHENTICATED,
-                    "Bring the operators' token as 'Authorization: Bearer TOKEN'.",
+                    "Send the operators' token as 'Authorization: Bearer TOKEN'.",
                     status=401,
                     step="authenticate",
                 )
@@ -184,7 +184,7 @@
         return check
 
 
-def _answer(value: object) -> web.Response:
+def _json_response(value: object) -> web.Response:
     return web.Response(body=msgspec.json.encode(value), content_type=JSON_TYPE)
 
 
@@ -193,7 +193,7 @@
     if kind not in CONFIG_KINDS:
         raise refuse(
             Code.UNKNOWN_OBJECT,
-            f"There is no kind {kind!r}; there are {', '.join(CONFIG_KINDS)}.",
+            f"There is no kind {kind!r}; valid kinds are {', '.join(CONFIG_KINDS)}.",
             status=404,
             step="parse",
         )
@@ -206,13 +206,16 @@
         return None
     if not text.isdigit():
         raise refuse(
-            Code.BAD_REQUEST, "If-Match is not a version.", status=400, step="parse"
+            Code.BAD_REQUEST,
+            "If-Match is not a version number.",
+            status=400,
+            step="parse",
         )
     return int(text)
 
 
 def _check_object(kind: str, object_id: str, raw: bytes) -> None:
-    """Raise RefusedError with every problem of an object at once."""
+    """Raise one RefusedError that lists all problems of an object."""
     try:
         value = decode_object(raw, CONFIG_KINDS[kind])
         problems = find_problems(kind, object_id, value)
@@ -234,7 +237,7 @@
 def _version_conflict(kind: str, object_id: str) -> RefusedError:
     return refuse(
         Code.VERSION_CONFLICT,
-        f"{kind}/{object_id} has another version by now; read it again.",
+        f"{kind}/{object_id} has a different version now; read it again.",
         status=409,
         step="write",
         peer="platform",
--- a/passtally/operator_cli.py
+++ b/passtally/operator_cli.py
@@ -1,6 +1,6 @@
-"""The operators' commands: they speak to any host's operators' API.
+"""The operators' commands, as clients of the operators' API of any host.
 
-Exit codes: 0 done, 1 refused or failed, 2 wrong use, 3 no host in reach.
+Exit codes: 0 done, 1 refused or failed, 2 invalid usage, 3 no host reachable.
 """
 
 import json
@@ -30,10 +30,10 @@
     """Calls the operators' API of the first host that answers.
 
     Attributes:
-        urls: The hosts' URLs.
+        urls: The hosts' URLs, tried in order.
         token: The operators' token.
         as_json: Whether to print JSON.
-        api: The path under which the calls stand.
+        api: The path prefix of the calls.
     """
 
     urls: tuple[str, ...]
@@ -44,7 +44,7 @@
     def call(
         self, method: str, path: str, value: object = None, *, version: str = ""
     ) -> Any:
-        """Make one call; print the error and leave where it is refused."""
+        """Make a call and return its answer; if it fails, print the error and exit."""
         for url in self.urls:
             try:
                 return self._call_one(url, method, path, value, version)
@@ -52,11 +52,11 @@
                 _exit_refused(error, as_json=self.as_json)
             except (urllib.error.URLError, OSError) as error:
                 click.echo(f"{url}: {error}", err=True)
-        click.echo("No host could be reached.", err=True)
+        click.echo("No host is reachable.", err=True)
         sys.exit(EXIT_UNREACHABLE)
 
     def show(self, value: Any, write: Callable[[Any], None]) -> None:
-        """Print a value as JSON, or for a person."""
+        """Print a value as JSON, or as readable text through ``write``."""
         if self.as_json:
             click.echo(json.dumps(value, indent=1, sort_keys=True))
         else:
@@ -98,7 +98,7 @@
         multiple=True,
         default=("http://127.0.0.1:8080",),
         envvar="PASSTALLY_HOSTS",
-        help="A host's URL; several are tried in turn. [env: PASSTALLY_HOSTS]",
+        help="A host's URL; several are tried in order. [env: PASSTALLY_HOSTS]",
     )
     @click.option(
         "--token",
@@ -133,23 +133,25 @@
     @group.command("list")
     @client_options
     def list_objects(client: Client) -> None:
-        """List all, as the host has them in force."""
+        """List all objects that are active on the host."""
         client.show(client.call("GET", f"/config/{kind}"), _write_rows)
 
     @group.command("show")
     @click.argument("object_id", metavar="ID")
     @client_options
     def show(client: Client, object_id: str) -> None:
-        """Show one."""
+        """Show one object."""
         client.show(client.call("GET", f"/config/{kind}/{object_id}"), _write_row)
 
     @group.command("put")
     @click.argument("object_id", metavar="ID")
     @click.argument("value")
-    @click.option("--version", default="", help="Only over this version; 0 for none.")
+    @click.option(
+        "--version", default="", help="Replace only this version; 0 to create only."
+    )
     @client_options
     def put(client: Client, object_id: str, value: str, version: str) -> None:
-        """Create or change one from JSON, or from a file given as @FILE."""
+        """Create or replace an object from JSON, or from a file given as @FILE."""
         path = f"/config/{kind}/{object_id}"
         answer = client.call("PUT", path, _read_value(value), version=version)
         client.show(answer, lambda row: click.echo(f"accepted at {row['version']}"))
@@ -158,7 +160,7 @@
     @click.argument("object_id", metavar="ID")
     @client_options
     def remove(client: Client, object_id: str) -> None:
-        """Remove one."""
+        """Remove an object."""
         answer = client.call("DELETE", f"/config/{kind}/{object_id}")
         client.show(answer, lambda row: click.echo("removed"))
 
@@ -177,7 +179,7 @@
 
 @click.group()
 def intent() -> None:
-    """Declare what is wanted, see the plan, confirm it."""
+    """Declare changes, review their plans, confirm or cancel them."""
 
 
 @intent.command()
@@ -185,7 +187,7 @@
 @click.argument("params", nargs=-1, metavar="[NAME=VALUE]...")
 @client_options
 def declare(client: Client, kind: str, params: Sequence[str]) -> None:
-    """Make a plan; nothing happens before it is confirmed.
+    """Make a plan; it is executed only once it is confirmed.
 
     \b
     put-service     value=JSON
@@ -215,7 +217,7 @@
 @click.argument("intent_id", metavar="ID")
 @client_options
 def confirm(client: Client, intent_id: str) -> None:
-    """Let a plan be carried out. Asking again is safe."""
+    """Confirm an intent, so that its plan is executed. Repeating this is safe."""
     client.show(client.call("POST", f"/intents/{intent_id}/confirm"), _write_intent)
 
 
@@ -241,10 +243,10 @@
 
 @intent.command()
 @click.argument("intent_id", metavar="ID")
-@click.option("--watch", is_flag=True, help="Go on until it has ended.")
+@click.option("--watch", is_flag=True, help="Poll until it has ended.")
 @client_options
 def show(client: Client, intent_id: str, watch: bool) -> None:
-    """Show how far an intent is; exit 1 if it failed."""
+    """Show an intent's current state; exit 1 if it failed."""
     shown = None
     while True:
         row = client.call("GET", f"/intents/{intent_id}")
@@ -258,15 +260,15 @@
 
 @click.group()
 def generation() -> None:
-    """Collect the answers of jobs, with a workspace's token."""
+    """Collect the answers of jobs, using a workspace's token."""
 
 
 @generation.command()
 @click.argument("generation_id", metavar="ID")
-@click.option("--watch", is_flag=True, help="Go on until it has ended.")
+@click.option("--watch", is_flag=True, help="Poll until it has ended.")
 @client_options
 def collect(client: Client, generation_id: str, watch: bool) -> None:
-    """Print a job's answer; while it runs, its state."""
+    """Print a job's answer, or its state while it is running."""
     callers = attrs.evolve(client, api=CALLERS_API)
     while True:
         row = callers.call("GET", f"/generations/{generation_id}")
@@ -279,13 +281,13 @@
 
 @click.group()
 def quarantine() -> None:
-    """Requests that are refused since they took endpoints down."""
+    """Manage requests that are refused because they crashed endpoints."""
 
 
 @quarantine.command("list")
 @client_options
 def list_quarantined(client: Client) -> None:
-    """Show them, with the endpoints that ended under each."""
+    """List each quarantined request with the endpoints that it crashed."""
     client.show(client.call("GET", "/quarantine"), _write_quarantined)
 
 
@@ -293,7 +295,7 @@
 @click.argument("request_id", metavar="ID")
 @client_options
 def lift(client: Client, request_id: str) -> None:
-    """Take a request again, at all hosts."""
+    """Lift the quarantine of a request on all hosts."""
     done = client.call("DELETE", f"/quarantine/{request_id}")
     client.show(done, lambda row: click.echo(f"{request_id}: lifted"))
 
@@ -301,13 +303,13 @@
 @click.command()
 @client_options
 def status(client: Client) -> None:
-    """Show which configuration is in force where, and who is out of reach."""
+    """Show the active configuration versions and the unreachable hosts."""
     client.show(client.call("GET", "/status"), _write_status)
 
 
 def _write_quarantined(rows: list[dict]) -> None:
     for row in rows:
-        click.echo(f"{row['id']}: ended {', '.join(row['ended'])}")
+        click.echo(f"{row['id']}: crashed {', '.join(row['ended'])}")
 
 
 def _write_rows(rows: dict[str, dict]) -> None:
@@ -316,23 +318,23 @@
 
 
 def _write_row(row: dict) -> None:
-    rest = " ".join(f"{name}={value}" for name, value in row.items() if name != "id")
-    click.echo(f"{row['id']}: {rest}")
+    fields = " ".join(f"{name}={value}" for name, value in row.items() if name != "id")
+    click.echo(f"{row['id']}: {fields}")
 
 
 def _write_intent(row: dict) -> None:
     reason = f" ({row['reason']})" if row["reason"] else ""
     click.echo(f"{row['id']}: {row['state']}{reason}")
     for number, step in enumerate(row["plan"]["steps"], start=1):
-        place = step["endpoint"] or step["key"]
+        target = step["endpoint"] or step["key"]
         click.echo(
-            f"  {number}. [{step['state']:7}] {step['kind']} {place}: {step['why']}"
+            f"  {number}. [{step['state']:7}] {step['kind']} {target}: {step['why']}"
             f" (about {step['seconds']:.0f} s, {step['streams']} streams)"
         )
     before, after = row["plan"]["capacity_before"], row["plan"]["capacity_after"]
     for service in sorted(before.keys() | after.keys()):
         click.echo(
-            f"  places of {service}: {before.get(service, 0)}"
+            f"  capacity of {service}: {before.get(service, 0)} requests"
             f" before, {after.get(service, 0)} after"
         )
 
@@ -346,19 +348,19 @@
 
 
 def _write_status(row: dict) -> None:
-    reach = "platform in reach" if row["platform_reachable"] else "platform away"
+    reachability = "reachable" if row["platform_reachable"] else "not reachable"
     click.echo(
         f"{row['id']} in {row['failure_domain']}: config {row['config_version']},"
-        f" {row['open_requests']} open, {reach}"
+        f" {row['open_requests']} open, platform {reachability}"
     )
     for peer in row["peers"]:
-        state = "alive" if peer["alive"] else "OUT OF REACH"
+        state = "alive" if peer["alive"] else "UNREACHABLE"
         state = "leaving" if peer["alive"] and peer["leaving"] else state
         click.echo(f"  {peer['id']}: config {peer['config_version']}, {state}")
     for endpoint in row["endpoints"]:
         click.echo(
             f"  {endpoint['id']}: {endpoint['state']},"
-            f" {endpoint['own_streams']} from here"
+            f" {endpoint['own_streams']} streams from this host"
         )
 
 
--- a/passtally/orders.py
+++ b/passtally/orders.py
@@ -1,4 +1,4 @@
-"""Fenced orders to endpoints: load a version, change role, and see what they did."""
+"""Sends fenced orders to endpoints (load a version, set a role), reads their state."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -11,18 +11,19 @@
 from passtally.http import fetch
 from passtally.objects import Endpoint
 
+#: Time limit of one call to an endpoint.
 ORDER_TIMEOUT = timedelta(seconds=3)
 OK = 200
 CONFLICT = 409
 
 
 class OrderError(Exception):
-    """An order that was not carried out, as far as is known.
+    """Raised when an order or report failed; an order may have been executed anyway.
 
     Args:
-        message: What happened.
-        step: The order.
-        peer: The endpoint.
+        message: The cause.
+        step: The kind of order, or ``report``.
+        peer: The endpoint's id.
     """
 
     def __init__(self, message: str, *, step: str, peer: str) -> None:
@@ -32,16 +33,16 @@
 
 
 class FencedError(OrderError):
-    """The endpoint has had an order with a higher fencing number."""
+    """Raised when the endpoint has already seen a higher fencing number."""
 
 
 class EndpointReport(msgspec.Struct):
-    """What an endpoint says of its state.
+    """The state that an endpoint reports.
 
     Attributes:
-        role: Its role.
-        loaded: The versions and adapters that it has loaded.
-        fence: The highest fencing number it has seen.
+        role: The current role.
+        loaded: The loaded versions and adapters.
+        fence: The highest fencing number seen.
     """
 
     role: str
@@ -50,7 +51,7 @@
 
 
 class Orders(Protocol):
-    """The way to an endpoint's orders."""
+    """Client that sends orders to endpoints and reads their state."""
 
     async def send_order(
         self,
@@ -61,18 +62,18 @@
         fence: int,
         before_send: Callable[[], None],
     ) -> None:
-        """Give one order; raises OrderError where it was not taken."""
+        """Send an order; raise OrderError unless the endpoint accepted it."""
 
     async def report(self, endpoint: Endpoint) -> EndpointReport:
-        """Return an endpoint's state; raises OrderError where it can't be had."""
+        """Return an endpoint's state; raise OrderError if it cannot be read."""
 
 
 class HttpOrders:
-    """Orders over HTTP.
+    """Sends orders over HTTP.
 
     Args:
-        session: A session that repeats nothing by itself and calls
-            ``before_send`` between connection and first byte.
+        session: A session that does not retry, and that calls ``before_send`` once
+            connected, before the first byte is sent.
     """
 
     def __init__(self, *, session: aiohttp.ClientSession) -> None:
@@ -87,18 +88,18 @@
         fence: int,
         before_send: Callable[[], None],
     ) -> None:
-        """Give one order.
+        """Send an order.
 
         Args:
-            endpoint: Who is ordered.
+            endpoint: The endpoint that receives the order.
             kind: ``load``, ``unload`` or ``role``.
             value: The version, adapter or role.
-            fence: The giver's fencing number.
-            before_send: Raises where the giver may no longer give orders.
+            fence: The sender's fencing number.
+            before_send: A check that raises if the sender no longer holds the lease.
 
         Raises:
-            FencedError: A newer giver has been there.
-            OrderError: It was refused, or its answer was lost.
+            FencedError: The endpoint has seen an order of a newer lease holder.
+            OrderError: The order was refused, or its answer was lost.
         """
         body = msgspec.json.encode({"fence": fence, "kind": kind, "value": value})
         await self._call(
@@ -106,7 +107,7 @@
         )
 
     async def report(self, endpoint: Endpoint) -> EndpointReport:
-        """Return an endpoint's state; raises OrderError where it can't be had."""
+        """Return an endpoint's state; raise OrderError if it cannot be read."""
         body = await self._call(endpoint, "report", "GET", "/v1/state")
         return msgspec.json.decode(body, type=EndpointReport)
 
@@ -132,7 +133,9 @@
         except FetchError as error:
             raise OrderError(str(error), step=step, peer=endpoint.id) from error
         if fetched.status == CONFLICT:
-            raise FencedError("fenced off", step=step, peer=endpoint.id)
+            raise FencedError(
+                "rejected for its old fencing number", step=step, peer=endpoint.id
+            )
         if fetched.status != OK:
             message = f"status {fetched.status}"
             raise OrderError(message, step=step, peer=endpoint.id)
--- a/passtally/planner.py
+++ b/passtally/planner.py
@@ -1,4 +1,4 @@
-"""Makes plans. Pure: a view of the configuration and the load in, a plan out."""
+"""Makes plans for intents, as pure functions of the configuration and the load."""
 
 from collections.abc import Iterable, Mapping
 
@@ -18,25 +18,30 @@
 )
 from passtally.statechart import follow
 
-STORE_GB_A_SECOND = 1.0
+#: Assumed rate at which an endpoint loads weights, in GB per second.
+STORE_GB_PER_SECOND = 1.0
+#: Expected duration of a verify step, in seconds: the warm-up after a load.
 WARM_UP_SECONDS = 5.0
 
 
 class PlanRefusedError(Exception):
-    """What is wanted can't be done within the promises; the text says why."""
+    """Raised when no plan can be made, with the reason.
+
+    The request is invalid, changes nothing, or leaves a service too little capacity.
+    """
 
 
 @attrs.frozen(kw_only=True)
 class PlanView:
-    """What a plan rests on.
+    """The state from which a plan is made.
 
     Attributes:
-        services_by_id: The services.
-        endpoints_by_id: The endpoints.
-        workspaces_by_id: The workspaces.
+        services_by_id: The configured services.
+        endpoints_by_id: The configured endpoints.
+        workspaces_by_id: The configured workspaces.
         versions_by_key: The version of each object, by its platform key.
-        streams_by_endpoint: Open requests by endpoint, as last reported.
-        store_gb_a_second: The rate of the weight store.
+        streams_by_endpoint: The number of open requests per endpoint, as last reported.
+        store_gb_per_second: The rate of the weight store, in GB per second.
     """
 
     services_by_id: Mapping[str, Service]
@@ -44,22 +49,23 @@
     workspaces_by_id: Mapping[str, Workspace]
     versions_by_key: Mapping[str, int]
     streams_by_endpoint: Mapping[str, int]
-    store_gb_a_second: float = STORE_GB_A_SECOND
+    store_gb_per_second: float = STORE_GB_PER_SECOND
 
 
 def make_plan(kind: IntentKind, params: Mapping[str, str], view: PlanView) -> Plan:
     """Return the plan for an intent.
 
     Args:
-        kind: What is wanted.
-        params: The details.
-        view: What the plan rests on.
+        kind: The kind of change.
+        params: The parameters of that kind, by name.
+        view: The state from which the plan is made.
 
     Raises:
-        PlanRefusedError: It can't be done, or not within the promises.
+        PlanRefusedError: The request is invalid, changes nothing, or leaves a service
+            too little capacity.
     """
     draft = _Draft(view)
-    makers = {
+    planners = {
         IntentKind.PUT_SERVICE: _plan_put_service,
         IntentKind.REMOVE_SERVICE: _plan_remove_service,
         IntentKind.PLACE_SERVICE: _plan_place_service,
@@ -70,7 +76,7 @@
         IntentKind.SET_ROLE: _plan_set_role,
     }
     try:
-        makers[kind](draft, params)
+        planners[kind](draft, params)
     except KeyError as error:
         raise PlanRefusedError(f"The parameter {error} is missing.") from error
     if not draft.steps:
@@ -79,7 +85,11 @@
 
 
 class _Draft:
-    """A plan in the making, and the configuration as it will be after it."""
+    """A plan under construction, and the configuration that results from its steps.
+
+    Every object that is read or written is recorded, since a change to it by another
+    writer makes the plan stale.
+    """
 
     def __init__(self, view: PlanView) -> None:
         self.view = view
@@ -136,7 +146,7 @@
             self.services_by_id.pop(object_id)
 
     def load(self, endpoint: Endpoint, version: str, weights_gb: float) -> None:
-        """Load a version where it is missing, verify it, then say so."""
+        """Add steps that load a version, verify it, and list it on the endpoint."""
         if version in endpoint.versions:
             return
         self.endpoint(endpoint.id)
@@ -146,7 +156,7 @@
                 why=f"{endpoint.id} lacks {version}",
                 endpoint=endpoint.id,
                 value=version,
-                seconds=weights_gb / self.view.store_gb_a_second,
+                seconds=weights_gb / self.view.store_gb_per_second,
             )
         )
         self.steps.append(
@@ -164,7 +174,7 @@
     def drain(self, endpoint: Endpoint, why: str) -> None:
         if endpoint.state is EndpointState.DRAINING:
             return
-        draining = attrs.evolve(endpoint, state=_follow(endpoint, "drain"))
+        draining = attrs.evolve(endpoint, state=_next_state(endpoint, "drain"))
         self.put("endpoints", draining, why)
         self.steps.append(
             Step(
@@ -178,7 +188,7 @@
     def finish(self) -> Plan:
         before = _capacity(self.view.services_by_id, self.view.endpoints_by_id.values())
         after = _capacity(self.services_by_id, self.endpoints_by_id.values())
-        self._check_capacity(before, after)
+        self._require_capacity(before, after)
         versions = {key: self.view.versions_by_key.get(key, 0) for key in self._read}
         return Plan(
             steps=tuple(self.steps),
@@ -187,7 +197,7 @@
             capacity_after=after,
         )
 
-    def _check_capacity(self, before: dict[str, int], after: dict[str, int]) -> None:
+    def _require_capacity(self, before: dict[str, int], after: dict[str, int]) -> None:
         for service_id in self.services_by_id:
             left = after.get(service_id, 0)
             if left >= before.get(service_id, 0):
@@ -198,24 +208,24 @@
             )
             if left == 0 or left < load:
                 raise PlanRefusedError(
-                    f"{service_id} would have {left} places left"
-                    f" for {load} open requests."
+                    f"{service_id} would have capacity for {left} requests,"
+                    f" but {load} are open."
                 )
 
 
 def _capacity(
     services_by_id: Mapping[str, Service], endpoints: Iterable[Endpoint]
 ) -> dict[str, int]:
-    places = dict.fromkeys(services_by_id, 0)
+    capacity_by_service = dict.fromkeys(services_by_id, 0)
     for endpoint in endpoints:
         service = services_by_id.get(endpoint.service)
         if service is not None and is_in_use(endpoint, service):
-            places[service.id] += endpoint.max_streams
-    return places
+            capacity_by_service[service.id] += endpoint.max_streams
+    return capacity_by_service
 
 
 def is_in_use(endpoint: Endpoint, service: Service) -> bool:
-    """Return whether the configuration lets an endpoint take requests."""
+    """Return whether the configuration allows requests to an endpoint."""
     return is_placed(endpoint, service) and endpoint.state is EndpointState.ACTIVE
 
 
@@ -231,7 +241,9 @@
     if known == wanted:
         return
     if known is not None and known.kind is not wanted.kind:
-        raise PlanRefusedError(f"{wanted.id} is a {known.kind} service and stays one.")
+        raise PlanRefusedError(
+            f"{wanted.id} is a {known.kind} service; its kind cannot change."
+        )
     if wanted.kind is ServiceKind.MODEL and known is not None:
         for endpoint in draft.endpoints_of(wanted.id):
             draft.load(endpoint, wanted.version, wanted.weights_gb)
@@ -257,7 +269,7 @@
         if not endpoints:
             raise PlanRefusedError(f"{service.id} has no endpoint in {domain}.")
         for endpoint in endpoints:
-            _make_ready(draft, service, endpoint)
+            _ensure_loaded(draft, service, endpoint)
     if service.failure_domains != domains:
         placed = attrs.evolve(service, failure_domains=domains)
         draft.put("services", placed, "route to the new places")
@@ -277,7 +289,7 @@
     if not endpoints:
         raise PlanRefusedError(f"{service.id} has no endpoint in use in {domain}.")
     for endpoint in endpoints:
-        _make_ready(draft, service, endpoint)
+        _ensure_loaded(draft, service, endpoint)
     if workspace.placements.get(service.id) != domain:
         placements = workspace.placements | {service.id: domain}
         moved = attrs.evolve(workspace, placements=placements)
@@ -285,15 +297,15 @@
 
 
 def _plan_drain(draft: _Draft, params: Mapping[str, str]) -> None:
-    for endpoint_id in _names(params["endpoints"]):
+    for endpoint_id in _parse_names(params["endpoints"]):
         draft.drain(draft.endpoint(endpoint_id), "no new work")
 
 
 def _plan_restore(draft: _Draft, params: Mapping[str, str]) -> None:
-    for endpoint_id in _names(params["endpoints"]):
+    for endpoint_id in _parse_names(params["endpoints"]):
         endpoint = draft.endpoint(endpoint_id)
         service = draft.service(endpoint.service)
-        _make_ready(draft, service, endpoint)
+        _ensure_loaded(draft, service, endpoint)
         restored = attrs.evolve(
             draft.endpoint(endpoint_id),
             state=EndpointState.ACTIVE,
@@ -304,7 +316,7 @@
 
 def _plan_load(draft: _Draft, params: Mapping[str, str]) -> None:
     version = params["version"]
-    for endpoint_id in _names(params["endpoints"]):
+    for endpoint_id in _parse_names(params["endpoints"]):
         endpoint = draft.endpoint(endpoint_id)
         service = draft.service(endpoint.service)
         draft.load(endpoint, version, service.weights_gb)
@@ -334,17 +346,17 @@
     draft.put("endpoints", changed, "its new role is in force")
 
 
-def _follow(endpoint: Endpoint, event: str) -> EndpointState:
+def _next_state(endpoint: Endpoint, event: str) -> EndpointState:
     return EndpointState(follow("endpoint", endpoint.state, event))
 
 
-def _make_ready(draft: _Draft, service: Service, endpoint: Endpoint) -> None:
-    """Make a place ready before anything is routed to it."""
+def _ensure_loaded(draft: _Draft, service: Service, endpoint: Endpoint) -> None:
+    """Add steps that load the service's version before requests are routed there."""
     if service.kind is ServiceKind.MODEL:
         draft.load(endpoint, service.version, service.weights_gb)
 
 
-def _names(text: str) -> list[str]:
+def _parse_names(text: str) -> list[str]:
     names = [name.strip() for name in text.split(",") if name.strip()]
     if not names:
         raise PlanRefusedError("No endpoint is named.")
--- a/passtally/reference.py
+++ b/passtally/reference.py
@@ -1,4 +1,4 @@
-"""Reference pages made from the code; tests keep docs/ equal to them."""
+"""Reference pages generated from the code; a test compares them with docs/."""
 
 from collections.abc import Callable, Iterable
 
@@ -10,7 +10,7 @@
 
 
 def render_configuration() -> str:
-    """Return docs/CONFIGURATION.md."""
+    """Return the text of docs/CONFIGURATION.md."""
     rows = []
     for field in attrs.fields(Settings):
         default = field.metadata["default"]
@@ -27,21 +27,21 @@
         )
     return _page(
         "Configuration",
-        "The settings of `passtally serve`, as flags or environment variables. They"
-        " are all checked at the start; a wrong one is named, and the exit code is 2.",
+        "The settings of `passtally serve`, as flags or environment variables. All are"
+        " checked at the start. Invalid ones are named, and the exit code is 2.",
         ("Flag", "Variable", "Default", "Meaning"),
         rows,
     )
 
 
 def render_metrics() -> str:
-    """Return docs/METRICS.md."""
+    """Return the text of docs/METRICS.md."""
     rows = [(f"`{m}`", m.kind, m.unit, m.meaning) for m in Metric]
     return _page(
         "Metrics",
-        f"Sent by statsd as `{PREFIX}.HOST.NAME`. Gauges are sent every 10 s; read"
-        " as text, they tell how things stand now. Where"
-        f" metrics are read as text, the names are `{PREFIX}_NAME_total`,"
+        f"Sent by statsd as `{PREFIX}.HOST.NAME`, gauges every 10 s. Where metrics are"
+        " served as text, gauges show their current values, and"
+        f" the names are `{PREFIX}_NAME_total` for counters,"
         f" `{PREFIX}_NAME_seconds` for timers and `{PREFIX}_NAME` for gauges.",
         ("Name", "Type", "Unit", "Meaning"),
         rows,
@@ -49,13 +49,13 @@
 
 
 def render_errors() -> str:
-    """Return docs/ERRORS.md."""
+    """Return the text of docs/ERRORS.md."""
     rows = [(f"`{code}`", code.meaning) for code in Code]
     return _page(
         "Error codes",
         "Every error has a `code`, a `message`, an `outcome` (`not_run` or"
-        " `unknown`), the `step` and `peer` at which it arose, and where coming back"
-        " can help a `retry_after` in seconds.",
+        " `unknown`), the `step` and `peer` at which it arose, and, if a retry can"
+        " succeed, a `retry_after` in seconds.",
         ("Code", "Meaning"),
         rows,
     )
--- a/passtally/settings.py
+++ b/passtally/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: flags and environment variables, checked at the start."""
+"""Settings of the daemon: flags and environment variables, checked at its start."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -16,10 +16,10 @@
 
 
 class SettingsError(ValueError):
-    """Settings that can't be used.
+    """Raised for missing or invalid settings.
 
     Args:
-        problems_by_flag: What is wrong with each, by the flag's name.
+        problems_by_flag: The problem of each such setting, by its flag.
     """
 
     def __init__(self, problems_by_flag: Mapping[str, str]) -> None:
@@ -30,7 +30,7 @@
 
 @attrs.frozen(kw_only=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -41,7 +41,7 @@
 
 @attrs.frozen(kw_only=True)
 class PeerAddress:
-    """Where one peer stands and listens."""
+    """A peer's name, failure domain and address."""
 
     host_id: str
     failure_domain: str
@@ -49,7 +49,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read ``IP:PORT``; a name instead of a number is refused."""
+    """Parse ``IP:PORT``; host names are refused."""
     host, _, port = text.rpartition(":")
     try:
         ip_address(host.strip("[]"))
@@ -57,22 +57,22 @@
     except ValueError:
         raise ValueError(f"{text!r} is not IP:PORT") from None
     if not 0 <= number < 65536:
-        raise ValueError(f"port {number} is out of range")
+        raise ValueError(f"port {number} is not from 0 to 65535")
     return Address(host=host.strip("[]"), port=number)
 
 
 def parse_addresses(text: str) -> tuple[Address, ...]:
-    """Read ``IP:PORT,IP:PORT``; empty for none."""
+    """Parse ``IP:PORT,IP:PORT``; empty for none."""
     return tuple(parse_address(item) for item in text.split(",") if item)
 
 
 def parse_optional_address(text: str) -> Address | None:
-    """Read ``IP:PORT``; empty for none."""
+    """Parse ``IP:PORT``; empty for none."""
     return parse_address(text) if text else None
 
 
 def parse_duration(text: str) -> timedelta:
-    """Read a duration such as ``250ms``, ``2s``, ``5m`` or ``1h``."""
+    """Parse a duration such as ``250ms``, ``2s``, ``5m`` or ``1h``."""
     for suffix in ("ms", "s", "m", "h"):
         number = text.removesuffix(suffix)
         if number != text and number.replace(".", "", 1).isdigit():
@@ -81,17 +81,19 @@
 
 
 def parse_name(text: str) -> str:
-    """Read a name of letters, digits, dots, dashes and underscores."""
+    """Parse a name of letters, digits, dots, dashes and underscores."""
     if (
         not text
         or not text.replace("-", "").replace("_", "").replace(".", "").isalnum()
     ):
-        raise ValueError(f"{text!r} is not a name")
+        raise ValueError(
+            f"{text!r} is not a name of letters, digits, dots, dashes and underscores"
+        )
     return text
 
 
 def parse_url(text: str) -> str:
-    """Read an ``http://`` URL."""
+    """Parse an ``http://`` URL."""
     parts = urlsplit(text)
     if parts.scheme != "http" or not parts.netloc:
         raise ValueError(f"{text!r} is not an http:// URL")
@@ -99,7 +101,7 @@
 
 
 def parse_keys(text: str) -> dict[str, bytes]:
-    """Read ``ID:SECRET,ID:SECRET``; the first one signs."""
+    """Parse ``ID:SECRET,ID:SECRET``; the first key signs."""
     keys_by_id: dict[str, bytes] = {}
     for item in text.split(","):
         key_id, _, secret = item.partition(":")
@@ -113,7 +115,7 @@
 
 
 def parse_peers(text: str) -> dict[str, "PeerAddress"]:
-    """Read ``HOST@FAILURE-DOMAIN=IP:PORT,...``; empty for none."""
+    """Parse ``HOST@FAILURE-DOMAIN=IP:PORT,...``; empty for none."""
     if not text:
         return {}
     peers = [_parse_peer(item) for item in text.split(",")]
@@ -131,25 +133,25 @@
 
 
 def parse_count(text: str) -> int:
-    """Read a whole number above zero."""
+    """Parse a positive integer."""
     if not text.isdigit() or int(text) == 0:
-        raise ValueError(f"{text!r} is not a whole number above zero")
+        raise ValueError(f"{text!r} is not a positive integer")
     return int(text)
 
 
 def parse_amount(text: str) -> float:
-    """Read a number from 0 on."""
+    """Parse a non-negative number."""
     try:
         number = float(text)
     except ValueError:
         number = -1.0
     if not 0 <= number < math.inf:
-        raise ValueError(f"{text!r} is not a number from 0 on")
+        raise ValueError(f"{text!r} is not a non-negative number")
     return number
 
 
 def parse_share(text: str) -> float:
-    """Read a number from 0 to 10."""
+    """Parse a number from 0 to 10."""
     try:
         number = float(text)
     except ValueError:
@@ -160,9 +162,9 @@
 
 
 def parse_path_or_dash(text: str) -> str:
-    """Read a file's path, or ``-`` for standard output."""
+    """Parse a file's path, or ``-`` for standard output."""
     if not text:
-        raise ValueError("is empty")
+        raise ValueError("must not be empty")
     return text
 
 
@@ -174,85 +176,111 @@
 
 @attrs.frozen(kw_only=True)
 class Settings:
-    """What one daemon is told at its start."""
+    """The checked settings of a daemon. Their help texts appear in docs/."""
 
-    host_id: str = _setting(parse_name, "This host's name.")
-    region: str = _setting(parse_name, "The region it stands in.", "local")
-    failure_domain: str = _setting(parse_name, "The failure domain it stands in.")
+    host_id: str = _setting(parse_name, "The name of this host.")
+    region: str = _setting(parse_name, "The region of this host.", "local")
+    failure_domain: str = _setting(parse_name, "The failure domain of this host.")
     listen: Address = _setting(
-        parse_address, "Where callers and operators reach it.", "127.0.0.1:8080"
+        parse_address, "The address for callers and operators.", "127.0.0.1:8080"
     )
     peer_listen: Address = _setting(
-        parse_address, "Where its peers reach it.", "127.0.0.1:8081"
+        parse_address, "The address for peers.", "127.0.0.1:8081"
     )
     peers: dict[str, PeerAddress] = _setting(
-        parse_peers, "Its peers, as HOST@FAILURE-DOMAIN=IP:PORT,...", ""
+        parse_peers, "The peers of this host, as HOST@FAILURE-DOMAIN=IP:PORT,...", ""
     )
-    platform: str = _setting(parse_url, "The platform's object API.")
+    platform: str = _setting(parse_url, "The URL of the platform's object API.")
     resume_keys: dict[str, bytes] = _setting(
-        parse_keys, "Keys for resume handles, ID:SECRET,...; the first one signs."
+        parse_keys, "Keys for resume handles, as ID:SECRET,...; the first one signs."
     )
     operator_token: str = _setting(
-        str, "The token that operators bring; empty turns the operators' API off.", ""
+        str, "The operators' token; empty disables the operators' API.", ""
     )
     max_body: int = _setting(
-        parse_count, "The largest request body, in bytes.", "4194304"
+        parse_count, "The maximum size of a request body, in bytes.", "4194304"
     )
     max_streams: int = _setting(
-        parse_count, "How many requests this host takes at once.", "2000"
+        parse_count, "The maximum number of concurrent requests on this host.", "2000"
     )
     claim_shards: int = _setting(
-        parse_count, "How many claim logs there are; the same on all hosts.", "8"
+        parse_count, "The number of claim logs; the same on all hosts.", "8"
     )
     claim_retention: timedelta = _setting(
-        parse_duration, "How long a claimed idempotency key is remembered.", "1h"
+        parse_duration,
+        "The time for which a claimed idempotency key is remembered.",
+        "1h",
     )
     linger: timedelta = _setting(
-        parse_duration, "How long a stream waits at its engine for a lost caller.", "2s"
+        parse_duration,
+        "The time for which a stream without a caller stays open at its engine.",
+        "2s",
     )
     balancer_lag: timedelta = _setting(
-        parse_duration, "How long a stopping host still takes new requests.", "5s"
+        parse_duration,
+        "The time for which a stopping host still accepts new requests.",
+        "5s",
     )
     log: str = _setting(
-        parse_path_or_dash, "Where log lines go: a file, or - for standard output.", "-"
+        parse_path_or_dash, "The log file, or - for standard output.", "-"
     )
     ready_listen: Address | None = _setting(
         parse_optional_address,
-        "Where a balancer asks for readiness; empty for /readyz beside the API.",
+        "The address for a balancer's readiness checks; empty for /readyz at the"
+        " address of the API.",
         "",
     )
     metrics_listen: Address | None = _setting(
-        parse_optional_address, "Where metrics are read as text; empty for nowhere.", ""
+        parse_optional_address,
+        "The address at which metrics are served as text; empty for none.",
+        "",
     )
     grace: timedelta = _setting(
-        parse_duration, "How long a stop may take before the process is killed.", "8s"
+        parse_duration,
+        "The time that a stop may take before the process is killed.",
+        "8s",
     )
     seeds: tuple[Address, ...] = _setting(
-        parse_addresses, "Where some other hosts may be reached, IP:PORT,...", ""
+        parse_addresses,
+        "Addresses at which other hosts may be reachable, as IP:PORT,...",
+        "",
     )
     retry_share: float = _setting(
-        parse_share, "How many repeats each request to a service earns.", "0.1"
+        parse_share,
+        "The number of retries that each request adds to its service's retry budget.",
+        "0.1",
     )
     retry_extra: float = _setting(
-        parse_amount, "How many more repeats all hosts together may make.", "200"
+        parse_amount,
+        "The number of further retries that all hosts together may make.",
+        "200",
     )
     retry_window: timedelta = _setting(
-        parse_duration, "The time in which repeats are counted against requests.", "10s"
+        parse_duration,
+        "The window in which retries are counted against requests.",
+        "10s",
     )
     trial_share: float = _setting(
         parse_share,
-        "The share of a service's requests that may go to a new version before it was"
-        " found good; 0 where new versions are not tried.",
+        "The share of a service's requests that may go to a new version before it is"
+        " judged good; 0 if new versions are not tried.",
         "0",
     )
     trial_extra: float = _setting(
-        parse_amount, "How many more may, of all hosts together.", "50"
+        parse_amount,
+        "The number of further requests that all hosts together may send to a new"
+        " version before it is judged good.",
+        "50",
     )
     apply_within: timedelta = _setting(
-        parse_duration, "How soon a change of configuration must be in force.", "2s"
+        parse_duration,
+        "The time within which a change of configuration must be in force.",
+        "2s",
     )
     statsd: Address | None = _setting(
-        parse_optional_address, "Where metrics go, as IP:PORT; empty for nowhere.", ""
+        parse_optional_address,
+        "The address to which metrics are sent by statsd, as IP:PORT; empty for none.",
+        "",
     )
 
 
@@ -267,10 +295,10 @@
 
 
 def check_settings(texts_by_name: Mapping[str, str | None]) -> Settings:
-    """Turn the texts of all settings into checked values.
+    """Parse the texts of all settings, with defaults for those that are None.
 
     Raises:
-        SettingsError: Some are missing or can't be used; it names them all.
+        SettingsError: Settings are missing or invalid; it names each of them.
     """
     values: dict[str, Any] = {}
     problems_by_flag: dict[str, str] = {}
@@ -279,7 +307,7 @@
         if text is None:
             text = field.metadata["default"]
         if text is None:
-            problem = f"is missing (or set {variable_of(field.name)})"
+            problem = f"is missing (set this flag or {variable_of(field.name)})"
             problems_by_flag[flag_of(field.name)] = problem
             continue
         try:
--- a/passtally/status.py
+++ b/passtally/status.py
@@ -1,4 +1,4 @@
-"""What a host tells operators of itself, its peers and its endpoints."""
+"""The status that a host reports to operators: itself, its peers, its endpoints."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -16,15 +16,15 @@
 
 @attrs.frozen(kw_only=True)
 class PeerStatus:
-    """One peer, as this host knows it.
+    """The last known state of a peer.
 
     Attributes:
-        id: Its name.
-        failure_domain: Where it stands.
-        config_version: The configuration version in force there.
-        alive: Whether it is in reach.
-        leaving: Whether it is stopping.
-        heard_seconds_ago: When it was last heard of, or None if never.
+        id: The peer's name.
+        failure_domain: The peer's failure domain.
+        config_version: The configuration version active on the peer.
+        alive: Whether the peer is reachable.
+        leaving: Whether the peer is stopping.
+        heard_seconds_ago: Seconds since the last contact, or None if there was none.
     """
 
     id: str
@@ -37,19 +37,19 @@
 
 @attrs.frozen(kw_only=True)
 class HostStatus:
-    """One host.
+    """The state of a host, with the peers and endpoints as the host knows them.
 
     Attributes:
-        id: Its name.
-        failure_domain: Where it stands.
-        config_version: The configuration version in force on it.
-        platform_reachable: Whether its watch is up.
-        leaving: Whether it is stopping.
-        open_requests: How many requests it has open.
-        peer_bytes_sent: Bytes sent to peers since its start.
-        claim_writes: Writes sent for claims since its start.
-        peers: Its peers.
-        endpoints: The endpoints, with the load it believes.
+        id: The host's name.
+        failure_domain: The host's failure domain.
+        config_version: The configuration version active on the host.
+        platform_reachable: Whether the watch on the platform is connected.
+        leaving: Whether the host is stopping.
+        open_requests: The number of open requests.
+        peer_bytes_sent: The number of bytes sent to peers since the host's start.
+        claim_writes: The number of claim writes sent since the host's start.
+        peers: The known peers.
+        endpoints: The endpoints, with their load as estimated by the host.
     """
 
     id: str
@@ -66,18 +66,18 @@
 
 @attrs.frozen(kw_only=True)
 class StatusReader:
-    """Reads the state of this host.
+    """Collects the state of the local host.
 
     Attributes:
-        host_id: Its name.
-        failure_domain: Where it stands.
-        catalog: The configuration in force.
-        gossip: What is known of its peers.
-        peers: The links.
-        fleet: The endpoints.
-        drain: The open requests.
-        is_platform_reachable: Returns whether the watch is up.
-        count_claim_writes: Returns the writes sent for claims.
+        host_id: The local host's name.
+        failure_domain: The local host's failure domain.
+        catalog: The active configuration.
+        gossip: The membership, with the last known state of each peer.
+        peers: The links to peers.
+        fleet: The endpoints and their load.
+        drain: The counter of open requests.
+        is_platform_reachable: Returns whether the watch on the platform is connected.
+        count_claim_writes: Returns the number of claim writes sent.
     """
 
     host_id: str
@@ -91,7 +91,7 @@
     count_claim_writes: Callable[[], int]
 
     async def read(self) -> HostStatus:
-        """Return the state of this host."""
+        """Return the current state of the local host."""
         return HostStatus(
             id=self.host_id,
             failure_domain=self.failure_domain,
@@ -106,7 +106,7 @@
         )
 
     def objects(self, kind: str) -> Mapping[str, Any]:
-        """Return the objects of one kind that are in force here, by id."""
+        """Return the active objects of a kind, by id."""
         return getattr(self.catalog, f"{kind}_by_id")
 
     def _endpoints(self) -> list[EndpointView]:
--- a/passtally/supervisor.py
+++ b/passtally/supervisor.py
@@ -1,4 +1,4 @@
-"""Keeps the daemon's endless tasks running when one of them fails."""
+"""Restarts the daemon's endless tasks when they fail."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,24 +13,26 @@
 
 
 async def keep_running(name: str, work: Work, *, clock: Clock) -> None:
-    """Run endless work; where it fails, say so and start it again.
+    """Run an endless task; if it fails, log the error and restart it after a pause.
+
+    Returns if the task ends by itself.
 
     Args:
-        name: Its name in the log.
-        work: Starts it anew.
-        clock: The clock.
+        name: The task's name in the log.
+        work: Returns a new awaitable for each start.
+        clock: The clock for the pause.
     """
     while True:
         try:
             await work()
             return
         except asyncio.CancelledError:
-            # What the work waits for may be cancelled, such as a message on a link that
-            # is let go; only the task's own cancellation ends it.
+            # An awaited operation may be cancelled by others, such as a receive on a
+            # link that is closed. Only the cancellation of this task stops it.
             if asyncio.current_task().cancelling():
                 raise
-            why = "what it waited for was cancelled"
+            why = "an awaited operation was cancelled"
         except Exception as error:
             why = repr(error)
-        log_event("daemon", "Task failed, starting again.", task=name, why=why)
+        log_event("daemon", "Task failed, restarting.", task=name, why=why)
         await clock.sleep(RESTART_PAUSE)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,7 @@
-"""Operators' work over separate processes: intents, configuration, stops, cuts."""
+"""Operators' commands against hosts in separate processes.
+
+Covers intents, configuration, platform outages, planned stops and authentication.
+"""
 
 import asyncio
 import json
@@ -60,7 +63,9 @@
         engine = system["runner-pilar"].url
         assert "2" in call_json("GET", f"{engine}/v1/state")["loaded"]
 
-    def test_a_drained_runner_gets_no_new_work_and_ends_what_it_has(self, system):
+    def test_a_drained_runner_gets_no_new_requests_and_completes_open_ones(
+        self, system
+    ):
         drained = []
 
         def drain():
@@ -74,21 +79,21 @@
         assert answer.text == EXPECTED
         engine = drained[0]
         before = engine.counts()["requests"]
-        assert before == 1, "it ended where it began"
+        assert before == 1, "the request did not stay on its endpoint"
         for host in HOSTS:
             system.chat(host, max_tokens=5)
         assert engine.counts()["requests"] == before
 
-    def test_a_refused_plan_tells_why(self, system: System):
+    def test_a_refused_plan_states_the_reason(self, system: System):
         names = ",".join(engine.name for engine in system.engines)
         words = ("intent", "declare", "drain", f"endpoints={names}")
         answer = operate(system, "entry-a", *words, exit_code=1)
         assert answer["error"]["code"] == "plan_refused"
-        assert "0 places left" in answer["error"]["message"]
+        assert "capacity for 0 requests" in answer["error"]["message"]
 
 
 class TestConfiguration:
-    def test_what_was_accepted_is_in_force_on_all_hosts_at_once(self, system: System):
+    def test_an_accepted_object_is_active_on_all_hosts_within_5_s(self, system: System):
         value = json.dumps(
             {"id": "w2", "token_sha256": "0" * 64, "services": ["drafting"]}
         )
@@ -103,7 +108,7 @@
         )
         assert time.monotonic() - started < 5
 
-    def test_all_problems_of_an_object_are_told_at_once(self, system: System):
+    def test_all_problems_of_an_object_are_reported_at_once(self, system: System):
         bad = json.dumps({"id": "x", "service": "", "url": "u", "failure_domain": ""})
         answer = operate(system, "entry-a", "endpoint", "put", "y", bad, exit_code=1)
         message = answer["error"]["message"]
@@ -124,7 +129,9 @@
 
 
 class TestOutages:
-    def test_serving_goes_on_and_a_new_host_learns_from_peers(self, system: System):
+    def test_serving_continues_and_a_new_host_is_configured_by_peers(
+        self, system: System
+    ):
         system.processes.platform.control(outage=True)
         wait_until(lambda: not status(system, "entry-a")["platform_reachable"])
         assert system.chat("entry-a").text == EXPECTED
@@ -139,7 +146,7 @@
         system.processes.platform.control()
         wait_until(lambda: status(system, "entry-c")["platform_reachable"])
 
-    def test_status_tells_who_is_out_of_reach(self, system: System):
+    def test_status_shows_unreachable_hosts(self, system: System):
         def alive(name: str) -> bool:
             peers = status(system, "entry-a")["peers"]
             return next(peer["alive"] for peer in peers if peer["id"] == name)
@@ -151,7 +158,7 @@
         system["entry-b"].signal(signal.SIGCONT)
         wait_until(lambda: alive("entry-b"))
 
-    def test_a_watch_that_is_too_old_is_listed_again(self, system: System):
+    def test_a_watch_whose_revision_is_too_old_relists(self, system: System):
         system.processes.platform.control(forget_changes=True)
         system.processes.platform.control()
         value = json.dumps({"id": "w5", "token_sha256": "2" * 64})
@@ -162,7 +169,9 @@
 
 
 class TestPlannedStop:
-    def test_a_stopping_host_ends_its_streams_and_exits_cleanly(self, system: System):
+    def test_a_stopping_host_completes_its_streams_and_exits_with_0(
+        self, system: System
+    ):
         host = system["entry-a"]
         not_ready = []
 
@@ -188,7 +197,7 @@
         assert result.exit_code == 1
         assert json.loads(result.stdout)["error"]["code"] == "unauthenticated"
 
-    def test_a_workspace_can_not_take_up_anothers_answer(self, system: System):
+    def test_a_workspace_cannot_resume_another_workspaces_answer(self, system: System):
         other = system.processes.add_workspace("other")
         system.processes.wait_ready()
         cut = At(50, lambda: system["entry-a"].kill())
@@ -213,7 +222,7 @@
 
 
 class TestDepartures:
-    def test_a_runner_that_says_it_is_leaving_gets_no_new_work(self, system: System):
+    def test_a_runner_that_reports_leaving_gets_no_new_requests(self, system: System):
         leaving = system["runner-pilar"]
         leaving.control(draining=True)
         system.chat("entry-a", max_tokens=5)
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -1,4 +1,7 @@
-"""Carrying intents out, in virtual time: holders die, sleep and race."""
+"""Execution of intents in virtual time.
+
+Lease holders die, are suspended or race with others, and the platform loses answers.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -9,7 +12,7 @@
 
 from passtally.catalog import Catalog
 from passtally.config_store import ConfigStore
-from passtally.executor import IDLE_FOR, LEASE_KEY, Executor
+from passtally.executor import LEASE_KEY, MIN_IDLE_TIME, Executor
 from passtally.fleet import Fleet
 from passtally.intent import (
     Intent,
@@ -44,14 +47,14 @@
 
 
 class FakeOrders:
-    """Endpoints that load, change role, and check fences where they do."""
+    """Endpoints that record orders and reject those with an old fencing number."""
 
     def __init__(self) -> None:
         self.loaded = {name: {"1"} for name in ENDPOINTS}
         self.roles = dict.fromkeys(ENDPOINTS, "serve")
         self.fences = dict.fromkeys(ENDPOINTS, 0)
-        self.given: list[tuple[str, str, int]] = []
-        self.away: set[str] = set()
+        self.received: list[tuple[str, str, int]] = []
+        self.unreachable_ids: set[str] = set()
 
     async def send_order(self, endpoint, *, kind, value, fence, before_send) -> None:
         await asyncio.sleep(0.01)
@@ -60,7 +63,7 @@
         if fence < self.fences[endpoint.id]:
             raise FencedError("old", step=kind, peer=endpoint.id)
         self.fences[endpoint.id] = fence
-        self.given.append((endpoint.id, value, fence))
+        self.received.append((endpoint.id, value, fence))
         if kind == "load":
             self.loaded[endpoint.id].add(value)
         else:
@@ -73,12 +76,12 @@
         )
 
     def _check(self, endpoint) -> None:
-        if endpoint.id in self.away:
-            raise OrderError("away", step="order", peer=endpoint.id)
+        if endpoint.id in self.unreachable_ids:
+            raise OrderError("no answer", step="order", peer=endpoint.id)
 
 
 class ControlHost:
-    """The control side of one host."""
+    """The control components of a host: catalog, intents, lease and executor."""
 
     def __init__(self, name: str, bench: "ControlBench") -> None:
         self.catalog = Catalog()
@@ -116,13 +119,13 @@
             objects = bench.platform.objects_by_key
             for key in list(self.catalog.current_versions()):
                 if key not in objects:
-                    self.catalog.replace(await bench.quiet_list())
-            self.catalog.advance(await bench.quiet_list())
+                    self.catalog.replace(await bench.list_without_faults())
+            self.catalog.advance(await bench.list_without_faults())
             await asyncio.sleep(0.1)
 
 
 class ControlBench:
-    """Two hosts' control sides over one platform."""
+    """The control components of several hosts that share a platform."""
 
     def __init__(self, *names: str) -> None:
         self.clock = VirtualClock()
@@ -133,7 +136,7 @@
         }
         self.hosts = {name: ControlHost(name, self) for name in names or ("a", "b")}
 
-    async def quiet_list(self):
+    async def list_without_faults(self):
         down, self.platform.is_down = self.platform.is_down, False
         faults, self.platform.faults = (
             self.platform.faults,
@@ -208,13 +211,13 @@
 LOAD = {"endpoints": "r1", "version": "2"}
 
 
-class TestCarryingOut:
+class TestExecution:
     def test_nothing_happens_before_it_is_confirmed(self):
         async def work(bench):
             intents = bench.hosts["a"].intents
             declared = await intents.declare(IntentKind.LOAD, LOAD)
             await asyncio.sleep(60)
-            assert bench.orders.given == []
+            assert bench.orders.received == []
             await intents.confirm(declared.id)
             done = await bench.wait_for(declared.id)
             assert done.state is IntentState.DONE
@@ -224,17 +227,17 @@
 
         run_bench(work)
 
-    def test_another_host_goes_on_after_the_holders_death(self):
+    def test_another_host_resumes_after_the_holders_death(self):
         async def work(bench):
             intents = bench.hosts["a"].intents
-            bench.orders.away.add("r1")
+            bench.orders.unreachable_ids.add("r1")
             declared = await intents.declare(IntentKind.LOAD, LOAD)
             await intents.confirm(declared.id)
             await bench.wait_until(lambda: bench.read(declared.id).holder)
             first = bench.read(declared.id)
             died_at = bench.clock.monotonic()
             bench.hosts[first.holder].die()
-            bench.orders.away.clear()
+            bench.orders.unreachable_ids.clear()
             done = await bench.wait_for(declared.id)
             assert done.state is IntentState.DONE
             assert done.holder != first.holder
@@ -244,20 +247,20 @@
 
         run_bench(work)
 
-    def test_a_holder_that_slept_gives_no_more_orders(self):
+    def test_a_holder_that_was_suspended_sends_no_more_orders(self):
         async def work(bench):
             intents = bench.hosts["a"].intents
-            bench.orders.away.add("r1")
+            bench.orders.unreachable_ids.add("r1")
             declared = await intents.declare(IntentKind.LOAD, LOAD)
             await intents.confirm(declared.id)
             await bench.wait_until(lambda: bench.read(declared.id).holder)
-            sleeper = bench.hosts[bench.read(declared.id).holder].lease
-            old_fence = sleeper.fence
-            sleeper._held_until = None
-            sleeper.try_hold = lambda: asyncio.sleep(0, result=False)
-            bench.orders.away.clear()
+            former_lease = bench.hosts[bench.read(declared.id).holder].lease
+            old_fence = former_lease.fence
+            former_lease._held_until = None
+            former_lease.try_hold = lambda: asyncio.sleep(0, result=False)
+            bench.orders.unreachable_ids.clear()
             await bench.wait_for(declared.id)
-            assert all(fence > old_fence for _, _, fence in bench.orders.given)
+            assert all(fence > old_fence for _, _, fence in bench.orders.received)
 
         run_bench(work)
 
@@ -274,11 +277,11 @@
             idle_at = bench.clock.monotonic()
             done = await bench.wait_for(declared.id)
             assert done.state is IntentState.DONE
-            assert bench.clock.monotonic() - idle_at >= IDLE_FOR
+            assert bench.clock.monotonic() - idle_at >= MIN_IDLE_TIME
 
         run_bench(work)
 
-    def test_a_moved_workspace_has_its_new_place_ready_first(self):
+    def test_a_workspace_moves_only_after_the_version_is_loaded(self):
         async def work(bench):
             bench.orders.loaded["r3"].clear()
             cold = Endpoint(
@@ -298,9 +301,9 @@
 
         run_bench(work)
 
-    def test_an_endpoint_that_can_not_load_stops_the_intent_unrouted(self):
+    def test_an_endpoint_that_cannot_load_fails_the_intent_and_gets_no_requests(self):
         async def work(bench):
-            bench.orders.away.add("r1")
+            bench.orders.unreachable_ids.add("r1")
             intents = bench.hosts["a"].intents
             declared = await intents.declare(IntentKind.LOAD, LOAD)
             await intents.confirm(declared.id)
@@ -313,7 +316,7 @@
 
         run_bench(work)
 
-    def test_a_step_over_a_changed_object_stops_the_intent(self):
+    def test_a_step_that_would_overwrite_a_change_fails_the_intent(self):
         async def work(bench):
             bench.engines["r1"].running = 1
             intents = bench.hosts["a"].intents
@@ -335,7 +338,7 @@
         run_bench(work)
 
     @pytest.mark.parametrize("seed", range(12))
-    def test_lost_answers_and_outages_stop_nothing(self, seed):
+    def test_an_intent_completes_despite_lost_answers_and_outages(self, seed):
         async def work(bench):
             kinds = ["ok", "lost", "late", "down"]
             plan = [kinds[(seed * 7 + n * n) % 4] for n in range(60)]
@@ -358,7 +361,10 @@
 
 class TestUnfencedEndpoints:
     def run_late_order(self, *, checks_fencing: bool) -> tuple[IntentState, str]:
-        """Set a role while an old holder's order for another one comes late."""
+        """Set a role while a late order of a former lease holder sets another one.
+
+        Return the final state of the intent and the final role.
+        """
         ended = []
 
         async def work(bench):
@@ -386,15 +392,15 @@
         run_bench(work)
         return ended[0]
 
-    def test_a_late_order_is_overruled(self):
+    def test_a_late_order_is_corrected(self):
         assert self.run_late_order(checks_fencing=False) == (IntentState.DONE, "embed")
 
-    def test_one_that_checks_is_not_waited_for(self):
+    def test_an_endpoint_that_checks_fencing_ends_with_the_ordered_role(self):
         assert self.run_late_order(checks_fencing=True) == (IntentState.DONE, "embed")
 
 
 class TestRaces:
-    def test_of_two_conflicting_confirms_one_wins_and_the_other_is_told(self):
+    def test_of_two_conflicting_confirms_one_is_refused(self):
         async def work(bench):
             first, second = (host.intents for host in bench.hosts.values())
             bench.engines["r1"].running = bench.engines["r2"].running = 1
@@ -411,7 +417,7 @@
 
         run_bench(work)
 
-    def test_a_stale_plan_is_refused_with_what_changed(self):
+    def test_a_stale_plan_is_refused_with_the_changed_keys(self):
         async def work(bench):
             intents = bench.hosts["a"].intents
             declared = await intents.declare(IntentKind.LOAD, LOAD)
@@ -426,7 +432,7 @@
 
         run_bench(work)
 
-    def test_a_confirm_can_be_asked_again(self):
+    def test_a_repeated_confirm_is_executed_once(self):
         async def work(bench):
             intents = bench.hosts["a"].intents
             declared = await intents.declare(IntentKind.LOAD, LOAD)
@@ -435,7 +441,7 @@
             await bench.wait_for(declared.id)
             again = await intents.confirm(declared.id)
             assert again.state is IntentState.DONE
-            assert [value for _, value, _ in bench.orders.given] == ["2"]
+            assert [value for _, value, _ in bench.orders.received] == ["2"]
 
         run_bench(work)
 
@@ -460,8 +466,8 @@
         run_bench(work)
 
 
-class TestTakeOver:
-    def test_time_is_counted_by_ones_own_clock(self):
+class TestLeaseTakeover:
+    def test_a_lease_is_taken_over_only_after_it_lapsed_by_the_local_clock(self):
         async def work(bench):
             holder = bench.hosts["a"].lease
             other = bench.hosts["b"].lease
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines never hold up the host; what is dropped is counted."""
+"""A slow or blocked log reader never blocks the host; dropped lines are counted."""
 
 import threading
 import time
@@ -9,7 +9,7 @@
 
 
 class SlowStream:
-    """A log whose reader takes nothing until told to."""
+    """A log stream that blocks writes until ``open`` is set, for at most 10 s each."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -38,7 +38,7 @@
         output.close()
         assert [row["n"] for row in stream.rows] == [0, 1, 2, 3, 4]
 
-    def test_a_blocked_log_drops_and_counts_and_does_not_block(self):
+    def test_lines_for_a_blocked_log_are_dropped_and_counted_without_blocking(self):
         stream = SlowStream()
         output = LogOutput(stream=stream, most=3)
         output({"n": "first"})
@@ -55,7 +55,7 @@
         output.close()
         assert stream.rows[-1] == {"n": "last", "dropped_lines": 7}
 
-    def test_values_that_are_no_json_are_written_as_text(self):
+    def test_values_without_a_json_form_are_written_as_text(self):
         stream = SlowStream()
         stream.open.set()
         output = LogOutput(stream=stream)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,10 +1,10 @@
-"""Plans: what they contain, and when they are refused."""
+"""Plans: their steps, the reasons to refuse one, and conflicts between them."""
 
 import attrs
 import msgspec
 import pytest
 
-from passtally.intent import IntentKind, Ledger, StepKind, find_stale, overlap
+from passtally.intent import IntentKind, Ledger, StepKind, find_overlap, find_stale
 from passtally.objects import (
     Endpoint,
     EndpointState,
@@ -47,7 +47,7 @@
 
 
 class TestMoveWorkspace:
-    def test_the_new_place_is_made_ready_before_routing(self):
+    def test_the_new_domain_has_the_version_loaded_before_routing(self):
         view = make_view(make_endpoint("a", "p"), make_endpoint("b", "t", versions=()))
         params = {"workspace": "w", "service": "draft", "to": "t"}
         plan = make_plan(IntentKind.MOVE_WORKSPACE, params, view)
@@ -62,7 +62,7 @@
         moved = msgspec.json.decode(plan.steps[-1].value, type=Workspace)
         assert moved.placements == {"draft": "t"}
 
-    def test_a_place_without_endpoints_is_refused(self):
+    def test_a_domain_without_endpoints_is_refused(self):
         view = make_view(make_endpoint("a", "p"))
         params = {"workspace": "w", "service": "draft", "to": "t"}
         with pytest.raises(PlanRefusedError, match="no endpoint in use in t"):
@@ -70,7 +70,7 @@
 
 
 class TestDrain:
-    def test_it_stops_new_work_then_waits(self):
+    def test_it_stops_new_requests_then_waits(self):
         view = make_view(
             make_endpoint("a", "p"), make_endpoint("b", "t"), streams={"a": 7}
         )
@@ -83,20 +83,20 @@
         )
 
     def test_the_last_endpoint_is_refused(self):
-        with pytest.raises(PlanRefusedError, match="0 places left"):
+        with pytest.raises(PlanRefusedError, match="capacity for 0 requests"):
             view = make_view(make_endpoint("a", "p"))
             make_plan(IntentKind.DRAIN, {"endpoints": "a"}, view)
 
-    def test_too_little_room_for_what_is_open_is_refused(self):
+    def test_too_little_capacity_for_open_requests_is_refused(self):
         view = make_view(
             make_endpoint("a", "p"),
             make_endpoint("b", "t"),
             streams={"a": 8, "b": 8},
         )
-        with pytest.raises(PlanRefusedError, match="10 places left for 16"):
+        with pytest.raises(PlanRefusedError, match="capacity for 10 requests, but 16"):
             make_plan(IntentKind.DRAIN, {"endpoints": "a"}, view)
 
-    def test_a_drained_endpoint_comes_back_as_a_new_incarnation(self):
+    def test_a_restored_endpoint_has_a_new_incarnation(self):
         drained = make_endpoint("a", "p", state=EndpointState.DRAINING)
         view = make_view(drained, make_endpoint("b", "t"))
         plan = make_plan(IntentKind.RESTORE, {"endpoints": "a"}, view)
@@ -121,12 +121,12 @@
             ),
         ],
     )
-    def test_bad_wishes_are_refused_with_the_reason(self, kind, params, reason):
+    def test_invalid_requests_are_refused_with_the_reason(self, kind, params, reason):
         view = make_view(make_endpoint("a", "p"), make_endpoint("b", "t"))
         with pytest.raises(PlanRefusedError, match=reason):
             make_plan(kind, params, view)
 
-    def test_a_new_version_is_loaded_everywhere_before_it_is_in_force(self):
+    def test_a_new_version_is_loaded_everywhere_before_it_is_active(self):
         view = make_view(make_endpoint("a", "p"), make_endpoint("b", "t"))
         wanted = attrs.evolve(SERVICE, version="2")
         params = {"value": msgspec.json.encode(wanted).decode()}
@@ -153,9 +153,9 @@
         ledger = Ledger().add(make_intent(first))
         conflict = ledger.find_conflict(second)
         assert conflict is not None
-        assert overlap(second, conflict)
+        assert find_overlap(second, conflict)
 
-    def test_plans_that_rest_on_other_objects_do_not(self):
+    def test_plans_that_depend_on_other_objects_do_not_conflict(self):
         view = make_view(make_endpoint("a", "p"), make_endpoint("b", "t", versions=()))
         load = make_plan(IntentKind.LOAD, {"endpoints": "a", "version": "2"}, view)
         other = make_plan(IntentKind.LOAD, {"endpoints": "b", "version": "2"}, view)
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The pages made from the code, the command line's small commands."""
+"""Generated reference pages are up to date; ``passtally trace`` filters a log."""
 
 from pathlib import Path
 
@@ -27,13 +27,13 @@
         '{"message": "retry: Chose resume.", "request": "g1", "timestamp": 3}',
     )
 
-    def test_it_tells_one_requests_story_in_order(self):
-        told = list(trace(self.LINES, "g1"))
-        assert len(told) == 2
-        assert "Chose r1. peer=r1" in told[0]
-        assert "resume" in told[1]
+    def test_it_prints_the_lines_of_a_request_in_order(self):
+        printed = list(trace(self.LINES, "g1"))
+        assert len(printed) == 2
+        assert "Chose r1. peer=r1" in printed[0]
+        assert "resume" in printed[1]
 
-    def test_a_request_that_is_not_there_is_told(self):
+    def test_a_request_without_lines_exits_with_1(self):
         result = CliRunner().invoke(main, ["trace", "g9"], input="\n".join(self.LINES))
         assert result.exit_code == 1
         assert "g9" in result.output
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings."""
+"""Parsing of the daemon's settings, and errors that name the invalid ones."""
 
 from datetime import timedelta
 
@@ -17,7 +17,7 @@
 
 
 class TestCheckSettings:
-    def test_good_ones_are_typed(self):
+    def test_valid_settings_are_parsed_into_their_types(self):
         settings = check_settings(
             GOOD | {"peers": "b@tigre=127.0.0.1:9", "linger": "250ms"}
         )
@@ -37,17 +37,17 @@
             ("linger", "soon"),
         ],
     )
-    def test_a_wrong_one_names_its_flag(self, name, text):
+    def test_an_invalid_setting_names_its_flag(self, name, text):
         with pytest.raises(SettingsError, match="--" + name.replace("_", "-")):
             check_settings(GOOD | {name: text})
 
-    def test_a_missing_one_names_its_flag_and_variable(self):
+    def test_a_missing_setting_names_its_flag_and_variable(self):
         with pytest.raises(SettingsError, match=r"--platform.*PASSTALLY_PLATFORM"):
             check_settings({**GOOD, "platform": None})
 
 
 class TestServeCommand:
-    def test_a_wrong_setting_gives_one_line_and_exit_2(self):
+    def test_an_invalid_setting_prints_one_line_and_exits_with_2(self):
         result = CliRunner().invoke(
             main, ["serve"], env={"PASSTALLY_HOST_ID": "not a name"}
         )
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -1,4 +1,8 @@
-"""Endless tasks go on after a failure."""
+"""Endless tasks restart after a failure.
+
+A task must also restart when an operation that it awaits is cancelled by others, and
+must stop when it is cancelled itself.
+"""
 
 import asyncio
 
@@ -7,7 +11,7 @@
 
 
 class TestKeepRunning:
-    def test_work_that_fails_is_started_again_after_a_pause(self):
+    def test_a_failed_task_is_restarted_after_a_pause(self):
         starts = []
 
         async def work() -> None:
@@ -19,7 +23,7 @@
         pause = RESTART_PAUSE.total_seconds()
         assert starts == [0, pause, 2 * pause]
 
-    def test_work_whose_answer_is_cancelled_is_started_again(self):
+    def test_a_task_whose_awaited_future_is_cancelled_is_restarted(self):
         starts = []
 
         async def work() -> None:
@@ -33,7 +37,7 @@
         pause = RESTART_PAUSE.total_seconds()
         assert starts == [0, pause, 2 * pause]
 
-    def test_a_cancelled_one_stays_cancelled(self):
+    def test_a_cancelled_task_is_not_restarted(self):
         async def run():
             async def work() -> None:
                 await asyncio.sleep(3600)
