--- a/passtally/follower.py
+++ b/passtally/follower.py
@@ -1,4 +1,4 @@
-"""Follows objects of the platform: one listing, then a watch, for ever."""
+"""Keeps track of the platform's objects by a listing and then repeated watches."""
 
 import random
 from collections.abc import Callable
@@ -14,41 +14,44 @@
     TooOldError,
 )
 
+#: Initial and maximum delay before a failed call is retried.
 INITIAL_RETRY_DELAY = timedelta(milliseconds=100)
 MAX_RETRY_DELAY = timedelta(seconds=2)
-#: An answer of more bytes takes a tenth of a second of a link of 10 Mbit/s, or longer.
-#: Changes gather while it comes, so no pause follows it: where 527 KB change every
-#: 200 ms a host is 1.6 s behind, and 2.9 s with a pause.
+#: Size in bytes above which an answer takes at least 0.1 s on a link of 10 Mbit/s.
+#: Further changes gather during its transfer, so no pause follows it. With 527 KB
+#: changed every 200 ms, a host is then 1.6 s behind instead of 2.9 s.
 LARGE_ANSWER = 128 * 1024
 
 
 class Follower:
     """Keeps a view of all objects under one prefix up to date.
 
-    After an outage the watch goes on where it was: a listing is asked for only where
-    the platform no longer keeps the changes in between, so that hosts do not all list
-    at once; after a long outage, if so told; and while changes pile up.
+    After an outage the watch continues from the last known version, so that not all
+    hosts list at once. It lists again only if the platform no longer keeps the changes
+    in between, after an outage longer than ``out_of_date_after``, or during a backlog
+    of changes.
 
-    Changes pile up where a watch brings states that others in the same answer replace,
-    and more bytes than a listing, which has only the newest state of each object. Where
-    the configuration changes every 200 ms, the slowest change takes 0.8 s by listings
+    There is a backlog if an answer of a watch contains superseded states of objects and
+    has more bytes than a listing, which holds only the newest state of each object.
+    With a configuration change every 200 ms, the slowest change takes 0.8 s by listings
     and 3.0 s by watches (100 KB, 5 Mbit/s), or 2.3 s and 23.4 s (527 KB, 10 Mbit/s;
-    test_piled_changes). Listings are asked for no longer than half of the time.
+    test_piled_changes). Listings take up at most half of the time.
 
     Args:
-        prefix: What the keys start with.
-        platform: Where the objects are.
+        prefix: The key prefix of the objects.
+        platform: The client of the platform's object API.
         clock: The clock.
-        rng: Where the jitter comes from.
-        replace: Called with each whole listing.
-        advance: Called with the changes that each watch brings, also when none.
-        relist_pause: Returns within which time hosts list again.
-        wait: How long one watch waits for a change, a pause before it included.
-        pause: How long changes are gathered before the next watch asks for them.
-        max_retry_delay: The longest pause between two tries.
-        out_of_date_after: After how long without news a listing takes the place of the
-            first watch; None for never. A watch brings all states since then.
-        reach_changed: Called when the watch goes down or up.
+        rng: The random source for the jitter of delays.
+        replace: Called with each complete listing.
+        advance: Called with the changes of each watch, also if there are none.
+        relist_pause: Returns the maximum random delay before hosts list again.
+        wait: The time that one watch waits for a change, including a pause before it.
+        pause: The time in which changes are gathered before the next watch.
+        max_retry_delay: The maximum delay before a retry.
+        out_of_date_after: The time without an answer after which the first call is a
+            listing instead of a watch, which would return all states since then; None
+            for never.
+        reach_changed: Called when the watch goes up or down, with whether it is up.
     """
 
     def __init__(
@@ -82,38 +85,42 @@
         self._out_of_date_after = out_of_date_after
         self._reach_changed = reach_changed
         self._delay = INITIAL_RETRY_DELAY
-        self._known_at: timedelta | None = None
+        self._updated_at: timedelta | None = None
         self._listed_bytes = 0
-        self._piles_up = False
+        self._is_backlogged = False
 
     def pace(self, *, wait: timedelta, pause: timedelta) -> None:
-        """Let further watches wait, and gather changes, for other times."""
+        """Change the wait and the pause of later watches."""
         self._wait = wait
         self._pause = pause
 
     async def run(self, *, after: int = 0) -> None:
-        """List, then watch, for ever.
+        """List, then watch, until cancelled.
 
         Args:
-            after: The version that is known already; 0 to list first.
+            after: The version to watch from without a listing; 0 to list first.
         """
         must_list = not after
         self.version = after
         while True:
             try:
                 if must_list:
-                    await self.learn()
+                    await self.list_once()
                     must_list = False
                 await self._watch()
             except TooOldError:
                 must_list = True
-                log_event("watch", "Too old, listing again.", prefix=self._prefix)
+                log_event(
+                    "watch",
+                    "Version too old to watch, listing again.",
+                    prefix=self._prefix,
+                )
                 await self._sleep(self._relist_pause())
             except PlatformError as error:
                 await self._back_off(error)
 
-    async def learn(self) -> None:
-        """List once; tries until the platform answers."""
+    async def list_once(self) -> None:
+        """List once, and retry until the platform answers."""
         while True:
             try:
                 await self._list()
@@ -122,7 +129,7 @@
                 await self._back_off(error)
 
     async def _back_off(self, error: PlatformError) -> None:
-        """Wait before the next try, longer each time until a watch is up again."""
+        """Sleep before a retry; the delay doubles until a watch is up again."""
         if self.is_watching:
             self._delay = INITIAL_RETRY_DELAY
         self._record_reachability(False, why=error)
@@ -130,72 +137,73 @@
         self._delay = min(2 * self._delay, self._max_retry_delay)
 
     async def _list(self) -> bool:
-        """List, and return whether anything is new since the last answer."""
+        """List, and return whether any object changed since the last answer."""
         listing = await self._platform.list_objects(self._prefix)
         known, self.version = self.version, listing.version
-        self._known_at = self._clock.monotonic()
+        self._updated_at = self._clock.monotonic()
         self._listed_bytes = _count_bytes(listing)
         self._replace(listing)
         return any(stored.version > known for stored in listing.objects)
 
     async def _watch(self) -> None:
-        # The first one does not wait, to tell that the platform is back.
+        # The first watch does not wait for changes, so that it shows at once that the
+        # platform is reachable again.
         wait = timedelta(0)
         while True:
-            if self._piles_up:
-                pause = await self._list_piled()
+            if self._is_backlogged:
+                pause = await self._list_backlog()
             elif self._is_out_of_date():
                 await self._list()
                 self._record_reachability(True, version=self.version)
                 pause = self._pause
             else:
-                pause = await self._ask(wait)
+                pause = await self._watch_once(wait)
             wait = self._wait
             if pause:
                 await self._clock.sleep(pause)
-                # The pause counts: a store that falls silent is noticed as soon after
-                # the last answer as if nothing had changed.
+                # The pause is part of the wait. So the loss of the store is detected as
+                # soon after the last answer as without a pause.
                 wait = max(self._wait - pause, timedelta(0))
 
-    async def _ask(self, wait: timedelta) -> timedelta:
-        """Watch once, and return how long to gather changes before the next time."""
+    async def _watch_once(self, wait: timedelta) -> timedelta:
+        """Watch once, and return the pause before the next watch."""
         changes = await self._platform.watch(
             self._prefix, after=self.version, wait=wait
         )
         self._record_reachability(True, version=changes.version)
         self.version = max(self.version, changes.version)
-        self._known_at = self._clock.monotonic()
-        self._piles_up = (
+        self._updated_at = self._clock.monotonic()
+        self._is_backlogged = (
             _has_superseded(changes) and _count_bytes(changes) > self._listed_bytes
         )
         self._advance(changes)
-        gathers = bool(changes.objects) and _count_bytes(changes) <= LARGE_ANSWER
-        return self._pause if gathers else timedelta(0)
-
-    async def _list_piled(self) -> timedelta:
-        """List once, and return how long to leave the link to others then."""
-        began = self._clock.monotonic()
-        self._piles_up = await self._list()
-        took = self._clock.monotonic() - began
+        should_gather = bool(changes.objects) and _count_bytes(changes) <= LARGE_ANSWER
+        return self._pause if should_gather else timedelta(0)
+
+    async def _list_backlog(self) -> timedelta:
+        """List once in a backlog, and return the pause that leaves the link free."""
+        started_at = self._clock.monotonic()
+        self._is_backlogged = await self._list()
+        duration = self._clock.monotonic() - started_at
         self._record_reachability(True, version=self.version)
-        return max(self._pause, took) if self._piles_up else timedelta(0)
+        return max(self._pause, duration) if self._is_backlogged else timedelta(0)
 
     def _is_out_of_date(self) -> bool:
-        if self._out_of_date_after is None or self._known_at is None:
+        if self._out_of_date_after is None or self._updated_at is None:
             return False
-        age = self._clock.monotonic() - self._known_at
+        age = self._clock.monotonic() - self._updated_at
         return age > self._out_of_date_after
 
     def _record_reachability(self, is_watching: bool, **fields: object) -> None:
         if is_watching == self.is_watching:
             return
         self.is_watching = is_watching
-        sentence = "Up." if is_watching else "Lost."
-        log_event("watch", sentence, prefix=self._prefix, **fields)
+        message = "Watch established." if is_watching else "Watch lost."
+        log_event("watch", message, prefix=self._prefix, **fields)
         self._reach_changed(is_watching)
 
-    async def _sleep(self, longest: timedelta) -> None:
-        await self._clock.sleep(self._rng.uniform(0.5, 1) * longest)
+    async def _sleep(self, max_delay: timedelta) -> None:
+        await self._clock.sleep(self._rng.uniform(0.5, 1) * max_delay)
 
 
 def _count_bytes(listing: Listing) -> int:
@@ -203,5 +211,5 @@
 
 
 def _has_superseded(changes: Listing) -> bool:
-    """Return whether there is more than one state of some object."""
+    """Return whether the changes hold more than one state of an object."""
     return len({stored.key for stored in changes.objects}) < len(changes.objects)
--- a/passtally/host_links.py
+++ b/passtally/host_links.py
@@ -1,4 +1,4 @@
-"""What leads from one entry host to the others."""
+"""The parts of an entry host that connect it to the other entry hosts."""
 
 import random
 
@@ -14,12 +14,12 @@
 
 
 class HostLinks:
-    """The links to the other hosts, who they are, and what is lent over them.
+    """The links to other hosts, the membership gossip, and the budget loans.
 
     Args:
-        settings: What this host was told.
+        settings: The settings of this host.
         clock: The clock.
-        departures: The endpoints that are leaving, which hosts tell each other.
+        departures: The leaving endpoints, spread by gossip.
     """
 
     def __init__(
--- a/passtally/member_table.py
+++ b/passtally/member_table.py
@@ -1,9 +1,9 @@
-"""Who is there: what one host knows of the others. Pure.
+"""The membership table of one host, as in the SWIM protocol. Pure.
 
-A host counts as in reach until it was found not to answer, and did not contradict that
-for a while. Only changes are spread: that a host came, is suspected, was found gone, or
-says that it is there after all. So what each host sends and keeps does not grow with
-the number of hosts, but for one row each, and no word has to be renewed in time.
+A host counts as reachable until it fails to answer and does not refute the suspicion
+before a timeout. Only changes are spread: a host joined, is suspected, was declared
+dead, or refuted a suspicion. Beyond one row for each host, memory and traffic do not
+grow with the number of hosts, and no entry has to be renewed before it expires.
 """
 
 import math
@@ -17,20 +17,21 @@
 
 from passtally.messages import MemberRow
 
-#: A host that is suspected has so long to contradict it. Word reaches all of 1,000
-#: hosts in 4 s, and its answer takes as long; cuts of a failure domain that the users
-#: play last 5 to 6 s, after which nothing has to be undone.
+#: Time in which a suspected host can refute the suspicion before it is declared dead.
+#: An update reaches all of 1,000 hosts in 4 s, and the refutation takes another 4 s.
+#: Network partitions of a failure domain of 5 to 6 s end before any host is declared
+#: dead.
 SUSPECT_FOR = timedelta(seconds=12)
-#: Rows of hosts that are gone are kept for so long, so that late word of them is known
-#: to be old, and a failure domain that comes back is found.
+#: Time for which rows of dead hosts are kept. They identify late updates about a dead
+#: host as outdated, and let a failure domain be found again once it is reachable.
 FORGET_AFTER = timedelta(minutes=5)
-#: Each change is told so many times by each host, times the logarithm of their number:
-#: 16 times among 195.
+#: Number of times that each host sends a change, divided by the base-2 logarithm of
+#: the number of hosts: 16 sends among 195 hosts.
 SENDS_PER_LOG = 2
 
 
 class MemberState(IntEnum):
-    """What a row says of its host; of two rows of one counter the higher one counts."""
+    """State of a host. Of two rows with the same counter, the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -38,13 +39,14 @@
 
 
 @attrs.define(kw_only=True)
-class _Known:
-    """One host.
+class _MemberRecord:
+    """The newest row of another host and its local timestamps.
 
     Attributes:
         row: The newest row.
-        last_contact_at: When the host itself, or a change, was heard of last.
-        state_since: Since when it is in its state.
+        last_contact_at: Monotonic time of the last message from the host or the last
+            new row about it.
+        state_since: Monotonic time at which the host entered its current state.
     """
 
     row: MemberRow
@@ -54,15 +56,15 @@
 
 @attrs.frozen(kw_only=True)
 class MemberView:
-    """What is known of one host.
+    """Membership status of one host.
 
     Attributes:
-        id: Its name.
-        failure_domain: Where it stands.
-        config_version: The configuration version in force there, as last heard.
-        leaving: Whether it is stopping.
-        since_contact: How long ago it was heard of; None if never.
-        alive: Whether it is in reach.
+        id: The host's name.
+        failure_domain: The host's failure domain; empty if unknown.
+        config_version: The last reported configuration version in force on the host.
+        leaving: Whether the host is stopping.
+        since_contact: Time since the last contact; None if there was none.
+        alive: Whether the host is reachable.
     """
 
     id: str
@@ -74,23 +76,25 @@
 
 
 class MemberTable:
-    """The newest row of each host, and the changes that are still to be told.
+    """The newest row of each host, and the changes that are still to be sent.
 
     Args:
         own: This host's first row.
-        suspect_for: How long a host is suspected before it counts as gone.
+        suspect_timeout: Time from a suspicion until the host is declared dead.
     """
 
-    def __init__(self, *, own: MemberRow, suspect_for: timedelta = SUSPECT_FOR) -> None:
+    def __init__(
+        self, *, own: MemberRow, suspect_timeout: timedelta = SUSPECT_FOR
+    ) -> None:
         self.own = own
-        #: Goes up whenever a host comes, goes, or changes its state.
+        #: Incremented whenever a host is added or removed, or its state changes.
         self.revision = 0
-        self._suspect_for = suspect_for
-        self._known_by_id: dict[str, _Known] = {}
-        #: The hosts that are suspected or gone; few, so that looking at them is cheap.
+        self._suspect_timeout = suspect_timeout
+        self._known_by_id: dict[str, _MemberRecord] = {}
+        #: The suspected and dead hosts. They are few, so checking all of them is cheap.
         self._failing_ids: set[str] = set()
-        #: How many times each change was told, by the host that it is about.
-        self._told_by_id: dict[str, int] = {own.host_id: 0}
+        #: Number of sends of each pending change, by the host that it concerns.
+        self._sends_by_id: dict[str, int] = {own.host_id: 0}
 
     def update_own(
         self,
@@ -99,17 +103,18 @@
         leaving: bool,
         versions_by_prefix: Mapping[str, int] | None = None,
     ) -> None:
-        """Take in this host's own state; only what all must know is news.
+        """Update the local row; only a change of ``leaving`` is spread as a change.
 
-        What it knows of the configuration is told along. As news it hid the words of
-        hosts that come and go: where it changed every 400 ms, 74 hosts sent 12 KB a
-        second each, and not 0.9, and an end was known to all after 14 s, and not 4.
+        Configuration versions are only attached to rows that are sent anyway. When
+        they were spread as changes, they delayed updates about hosts that join or
+        fail: with a configuration change every 400 ms, each of 74 hosts sent 12 KB/s
+        instead of 0.9 KB/s, and a crash was known to all after 14 s instead of 4 s.
         """
         own = self.own
         if leaving != own.leaving:
             counter = own.counter + 1
             own = msgspec.structs.replace(own, counter=counter, leaving=leaving)
-            self._told_by_id[own.host_id] = 0
+            self._sends_by_id[own.host_id] = 0
         self.own = msgspec.structs.replace(
             own,
             config_version=config_version,
@@ -124,16 +129,16 @@
         failure_domain: str | None = None,
         address: str | None = None,
     ) -> None:
-        """Take in where this host stands now, and what it is called.
+        """Change the name, failure domain or address of the local host.
 
-        Under a name that it has no more it is told to be gone, so that the others need
-        not find out that nobody answers to it.
+        After a change of name the former name is spread as dead, so that other hosts
+        need not detect by timeouts that no host answers under it.
 
         Args:
             now: The monotonic time.
-            host_id: Its name; None where it stays. So with the others.
-            failure_domain: Its failure domain.
-            address: Where its peers reach it.
+            host_id: The new name; None to keep the current one.
+            failure_domain: The new failure domain; None to keep the current one.
+            address: The new address for peers; None to keep the current one.
         """
         before = self.own
         own = msgspec.structs.replace(
@@ -154,13 +159,13 @@
             dead = msgspec.structs.replace(
                 before, counter=before.counter + 1, state=MemberState.DEAD
             )
-            self._put(dead, now)
+            self._store_row(dead, now)
         self.own = own
-        self._told_by_id[own.host_id] = 0
+        self._sends_by_id[own.host_id] = 0
         self.revision += 1
 
     def merge(self, rows: Iterable[MemberRow], now: timedelta) -> None:
-        """Take in rows from a peer; older ones change nothing."""
+        """Merge rows from a peer; outdated rows are ignored."""
         for row in rows:
             if row.host_id == self.own.host_id:
                 self._refute(row)
@@ -168,52 +173,55 @@
                 self._merge_other(row, now)
 
     def record_contact(self, host_id: str, now: timedelta) -> None:
-        """Take in that a host itself was heard."""
+        """Record a message from a host itself."""
         known = self._known_by_id.get(host_id)
         if known is not None:
             known.last_contact_at = now
 
     def suspect(self, host_id: str, now: timedelta) -> None:
-        """Take in that a host did not answer."""
+        """Mark a host that did not answer as suspect, if it is alive."""
         known = self._known_by_id.get(host_id)
         if known is not None and known.row.state == MemberState.ALIVE:
-            self._change(known.row, MemberState.SUSPECT, now)
+            self._set_state(known.row, MemberState.SUSPECT, now)
 
     def expire(self, now: timedelta) -> None:
-        """Give up hosts that were suspected for long, and forget those long gone."""
+        """Declare hosts dead after the suspect timeout, and drop old dead rows."""
         for host_id in list(self._failing_ids):
             known = self._known_by_id[host_id]
-            lasted = now - known.state_since
-            if known.row.state == MemberState.SUSPECT and lasted >= self._suspect_for:
-                self._change(known.row, MemberState.DEAD, now)
-            elif known.row.state == MemberState.DEAD and lasted >= FORGET_AFTER:
+            elapsed = now - known.state_since
+            if (
+                known.row.state == MemberState.SUSPECT
+                and elapsed >= self._suspect_timeout
+            ):
+                self._set_state(known.row, MemberState.DEAD, now)
+            elif known.row.state == MemberState.DEAD and elapsed >= FORGET_AFTER:
                 del self._known_by_id[host_id]
                 self._failing_ids.discard(host_id)
-                self._told_by_id.pop(host_id, None)
+                self._sends_by_id.pop(host_id, None)
                 self.revision += 1
 
     @property
     def has_updates(self) -> bool:
-        """Whether changes are still to be told."""
-        return bool(self._told_by_id)
+        """Whether changes are still to be sent."""
+        return bool(self._sends_by_id)
 
     def pop_updates(self, most: int) -> list[MemberRow]:
-        """Return changes to tell, those told least first, and count them as told.
+        """Return changes to send, least often sent first, and count them as sent.
 
         Args:
-            most: How many at the most.
+            most: The maximum number of changes.
         """
         limit = SENDS_PER_LOG * math.ceil(math.log2(len(self._known_by_id) + 2))
-        chosen = sorted(self._told_by_id, key=self._told_by_id.__getitem__)[:most]
+        chosen = sorted(self._sends_by_id, key=self._sends_by_id.__getitem__)[:most]
         rows = [row for name in chosen if (row := self.find(name)) is not None]
         for name in chosen:
-            self._told_by_id[name] += 1
-            if self._told_by_id[name] >= limit:
-                del self._told_by_id[name]
+            self._sends_by_id[name] += 1
+            if self._sends_by_id[name] >= limit:
+                del self._sends_by_id[name]
         return rows
 
     def sample(self, count: int, rng: random.Random) -> list[MemberRow]:
-        """Return some rows of other hosts, taken at random."""
+        """Return a random sample of the rows of other hosts."""
         known = list(self._known_by_id.values())
         return [item.row for item in rng.sample(known, min(count, len(known)))]
 
@@ -225,28 +233,32 @@
         return known.row if known is not None else None
 
     def count_reachable(self) -> int:
-        """Return how many other hosts are in reach."""
+        """Return the number of other hosts that are reachable."""
         return len(self._known_by_id) - len(self.dead())
 
     def reachable(self) -> list[MemberRow]:
-        """Return the rows of the other hosts that are in reach."""
+        """Return the rows of the other hosts that are reachable."""
         rows = [known.row for known in self._known_by_id.values()]
         if not self._failing_ids:
             return rows
         return [row for row in rows if row.state != MemberState.DEAD]
 
     def dead(self) -> list[MemberRow]:
-        """Return the rows of the hosts that were found gone not long ago."""
+        """Return the retained rows of dead hosts."""
         rows = [self._known_by_id[host_id].row for host_id in self._failing_ids]
         return [row for row in rows if row.state == MemberState.DEAD]
 
     def views(self, names: Collection[str], now: timedelta) -> list[MemberView]:
-        """Return what is known of the hosts named and of all others heard of."""
-        everyone = sorted({*names, *self._known_by_id} - {self.own.host_id})
-        return [self._view(name, now) for name in everyone]
+        """Return the status of the named hosts and of all other hosts in the table."""
+        others = sorted({*names, *self._known_by_id} - {self.own.host_id})
+        return [self._view(name, now) for name in others]
 
     def newest_config(self) -> tuple[str, int]:
-        """Return the host in reach with the highest configuration version."""
+        """Return the reachable host with the highest configuration version.
+
+        Returns:
+            The host's name and its version; ``("", 0)`` if no host reports a version.
+        """
         best = ("", 0)
         for row in self.reachable():
             if row.config_version > best[1]:
@@ -256,7 +268,7 @@
     def _merge_other(self, row: MemberRow, now: timedelta) -> None:
         known = self._known_by_id.get(row.host_id)
         if known is None:
-            self._put(row, now)
+            self._store_row(row, now)
         elif (row.counter, row.state) > (known.row.counter, known.row.state):
             is_sudden = (
                 row.state == MemberState.DEAD
@@ -264,40 +276,41 @@
                 and known.row.state == MemberState.ALIVE
             )
             if is_sudden:
-                # It may be a host beyond a cut that has ended: let it contradict.
+                # The row may come from the other side of a healed network partition.
+                # As a suspect, the host can still refute it.
                 row = msgspec.structs.replace(row, state=MemberState.SUSPECT)
-            self._put(row, now)
+            self._store_row(row, now)
         elif row.counter == known.row.counter:
             known.row = _with_newest_versions(known.row, row)
 
-    def _put(self, row: MemberRow, now: timedelta) -> None:
-        self._known_by_id[row.host_id] = _Known(
+    def _store_row(self, row: MemberRow, now: timedelta) -> None:
+        self._known_by_id[row.host_id] = _MemberRecord(
             row=row, last_contact_at=now, state_since=now
         )
         self._record_state(row)
 
-    def _change(self, row: MemberRow, state: MemberState, now: timedelta) -> None:
+    def _set_state(self, row: MemberRow, state: MemberState, now: timedelta) -> None:
         known = self._known_by_id[row.host_id]
         known.row = msgspec.structs.replace(row, state=state)
         known.state_since = now
         self._record_state(known.row)
 
     def _record_state(self, row: MemberRow) -> None:
-        """Take in that a host has a new row, which is to be told."""
+        """Record a new row or state of a host as a change to send."""
         if row.state == MemberState.ALIVE:
             self._failing_ids.discard(row.host_id)
         else:
             self._failing_ids.add(row.host_id)
-        self._told_by_id[row.host_id] = 0
+        self._sends_by_id[row.host_id] = 0
         self.revision += 1
 
     def _refute(self, row: MemberRow) -> None:
-        """Outrun word of this host that is not its own: of a past life, or wrong."""
-        is_other_life = row.counter > self.own.counter
+        """Outbid a row of an earlier run, or a false suspicion, by a higher counter."""
+        is_earlier_run = row.counter > self.own.counter
         is_wrong = row.counter == self.own.counter and row.state != MemberState.ALIVE
-        if is_other_life or is_wrong:
+        if is_earlier_run or is_wrong:
             self.own = msgspec.structs.replace(self.own, counter=row.counter + 1)
-            self._told_by_id[self.own.host_id] = 0
+            self._sends_by_id[self.own.host_id] = 0
 
     def _view(self, name: str, now: timedelta) -> MemberView:
         known = self._known_by_id.get(name)
@@ -321,7 +334,7 @@
 
 
 def _with_newest_versions(row: MemberRow, other: MemberRow) -> MemberRow:
-    """Return a row with the higher of each version in two of one counter."""
+    """Return a row with the higher version of each prefix of two equal-counter rows."""
     config_version = max(row.config_version, other.config_version)
     versions = dict(row.versions_by_prefix)
     for prefix, version in other.versions_by_prefix.items():
@@ -334,9 +347,10 @@
 
 
 def pick_dead_hosts(rows: Sequence[MemberRow], alive: Sequence[MemberRow]) -> list:
-    """Return one host that is gone for each failure domain without one in reach.
+    """Return one dead host for each failure domain without a reachable host.
 
-    They are asked now and then, so that the end of a long cut is seen.
+    These hosts are probed from time to time, so that the end of a long network
+    partition is detected.
     """
     domains = {row.failure_domain for row in alive}
     one_by_domain = {
--- a/passtally/membership.py
+++ b/passtally/membership.py
@@ -1,10 +1,9 @@
-"""Asks other hosts whether they are there, and spreads what has changed.
+"""Gossip between entry hosts: failure detection and the spread of membership changes.
 
-Each host asks a few of the hosts that it is linked to. One that does not answer three
-times is suspected; word of it spreads with the questions and answers, and the suspected
-host contradicts it when it hears of it (the SWIM protocol, over the links that there
-are).
-Nothing is agreed by it.
+Each host probes a few of the hosts that it is linked to. A host that does not answer
+after three tries is suspected. The suspicion spreads with later probes and replies, and
+the suspected host refutes it once it receives it (the SWIM protocol, over the existing
+links). There is no consensus: hosts may differ in their views.
 """
 
 import asyncio
@@ -19,58 +18,61 @@
 from passtally.messages import DepartureRow, Hello, MemberRow
 from passtally.peers import PeerError, Peers
 
+#: Interval between rounds while there are no changes to send.
 GOSSIP_INTERVAL = timedelta(seconds=1)
-#: The same while there are changes to tell: all of 195 hosts know of one within 2 s.
+#: Interval between rounds while there are changes to send. A change reaches all of 195
+#: hosts within 2 s.
 UPDATE_INTERVAL = timedelta(milliseconds=300)
-#: Peers asked in each interval.
+#: Number of peers probed in each round.
 FANOUT = 2
-#: Among so many hosts those of the own failure domain are asked first: bytes between
-#: failure domains are dear.
-MANY = 24
-#: The part of the rounds in which one of another failure domain is asked: 39 words a
-#: second come from each domain of 39 hosts while there is something to tell.
-FAR_PART = 0.3
-#: How often a peer is asked before it is suspected. Where 3 in 100 messages get lost,
-#: one in 5,000 questions ends in a wrong suspicion, and each is told to all hosts.
-TRIES = 3
-#: The most changes told in one message, some 2.5 KB.
+#: Number of reachable hosts from which on a host mostly probes hosts of its own failure
+#: domain, since traffic between failure domains is expensive.
+DOMAIN_BIAS_MIN_HOSTS = 24
+#: Share of rounds in which a host of another failure domain is probed. While there are
+#: changes to send, a domain of 39 hosts sends 39 probes a second to other domains.
+REMOTE_SHARE = 0.3
+#: Number of tries of a probe before the peer is suspected. At 3% message loss one in
+#: 5,000 probes ends in a false suspicion, and each suspicion is sent to all hosts.
+MAX_TRIES = 3
+#: Maximum number of changes in one message, about 2.5 KB.
 UPDATE_ROWS = 30
-#: Rows of others sent along where there are few changes, for hosts that missed some.
+#: Number of rows that a message is filled up to while there are few changes, with a
+#: random sample of other hosts. They reach hosts that missed the changes.
 FILL_ROWS = 3
-#: The most rows sent to a host that knows few: all of a fleet of the target's size,
-#: some 30 KB.
+#: Maximum number of rows sent to a host that knows few others, about 30 KB. It covers
+#: all hosts of a fleet of the target size.
 MAX_ROWS = 400
-#: How many hosts are told all rows in a second: when all hosts of a fleet start at
-#: once, what their seeds send is bounded, and the others tell the rest.
-FULL_ANSWERS = 4
-#: A host that knows so few others is told all rows also by another failure domain: it
-#: may know none of its own yet.
-FEW = 3
+#: Maximum number of replies with all rows in a second. It bounds the traffic of the
+#: seeds when all hosts of a fleet start at once; other hosts then send the rest.
+FULL_REPLIES_PER_SECOND = 4
+#: Number of known hosts up to which a host is sent all rows also by another failure
+#: domain, since it may not know any host of its own domain yet.
+FEW_HOSTS = 3
 
 
 class DepartureUpdates(Protocol):
-    """The departures that are spread along."""
+    """Updates about leaving endpoints, sent in the gossip messages."""
 
     @property
     def has_updates(self) -> bool:
-        """Whether peers have hardly been told of some departure."""
+        """Whether a departure was sent to only a few peers so far."""
 
     def pop_updates(self) -> list[DepartureRow]:
-        """Return some to tell, and count them as told."""
+        """Return departures to send, and count them as sent."""
 
     def merge(self, rows: Sequence[DepartureRow]) -> None:
-        """Take in what a peer tells."""
+        """Merge departures received from a peer."""
 
 
 class Gossip:
-    """Asks and tells other hosts.
+    """Probes peers and exchanges membership changes with them.
 
     Args:
-        table: What is known.
-        peers: The links.
+        table: The membership table of the local host.
+        peers: The links to other hosts.
         clock: The clock.
-        rng: Where the choice of peers comes from.
-        departures: Spread along.
+        rng: The random source for the choice of peers.
+        departures: Updates about leaving endpoints, sent in the same messages.
     """
 
     def __init__(
@@ -86,29 +88,29 @@
         self._departures = departures
         self.config_version = 0
         self.leaving = False
-        #: Returns the newest version known under each prefix, to be told along.
+        #: Returns the newest known version under each prefix, sent in the local row.
         self.versions: Callable[[], Mapping[str, int]] = dict
-        #: Returns whether this host hears of changes of the configuration by gossip
-        #: alone: its failure domain is turned away by the platform. It then asks as if
-        #: there were news, and each time one host of another domain, so that all 74
-        #: hosts' versions are known in it within 2 s and not 3.8 s.
+        #: Returns whether gossip is the only source of configuration changes, because
+        #: the platform rejects all hosts of this failure domain. The host then uses the
+        #: shorter interval and probes a host of another domain in each round, so that
+        #: the versions of all 74 hosts are known in it within 2 s instead of 3.8 s.
         self.seeks_versions: Callable[[], bool] = lambda: False
         self._peers = peers
         self._clock = clock
         self._rng = rng
-        self._full_answers_at: list[timedelta] = []
-        #: The questions that are under way.
-        self._asked: dict[str, asyncio.Task[None]] = {}
+        self._full_replies_at: list[timedelta] = []
+        #: The probes in flight, by peer.
+        self._probes_by_id: dict[str, asyncio.Task[None]] = {}
         peers.on(Hello, self._answer)
 
     async def run(self) -> None:
-        """Ask and tell a few peers, every interval, for ever."""
+        """Run gossip rounds until cancelled."""
         try:
             while True:
                 await self._clock.sleep(self._interval())
                 await self.run_round()
         finally:
-            for task in list(self._asked.values()):
+            for task in list(self._probes_by_id.values()):
                 task.cancel()
 
     def _interval(self) -> timedelta:
@@ -117,32 +119,34 @@
         return UPDATE_INTERVAL if is_urgent else GOSSIP_INTERVAL
 
     async def run_round(self) -> None:
-        """Ask a few random peers, and tell them what has changed.
+        """Probe a few random peers, and send them the pending changes.
 
-        Waits for their answers, but not long for one that does not come: the others
-        are met meanwhile.
+        Waits for their replies for at most ``UPDATE_INTERVAL``. Probes of a peer that
+        has not replied by then continue while later rounds probe other peers.
         """
         self._update()
-        free = [host_id for host_id in self._peers.ids if host_id not in self._asked]
-        far_part = 1.0 if self.seeks_versions() else FAR_PART
-        chosen = choose_asked(free, self.table, self._rng, far_part=far_part)
+        free = [
+            host_id for host_id in self._peers.ids if host_id not in self._probes_by_id
+        ]
+        remote_share = 1.0 if self.seeks_versions() else REMOTE_SHARE
+        chosen = choose_probed(free, self.table, self._rng, remote_share=remote_share)
         if not chosen:
             return
         for host_id in chosen:
-            task = asyncio.create_task(self._ask(host_id))
-            self._asked[host_id] = task
-            task.add_done_callback(lambda _, name=host_id: self._asked.pop(name))
+            task = asyncio.create_task(self._probe(host_id))
+            self._probes_by_id[host_id] = task
+            task.add_done_callback(lambda _, name=host_id: self._probes_by_id.pop(name))
         await asyncio.wait(
-            [self._asked[host_id] for host_id in chosen],
+            [self._probes_by_id[host_id] for host_id in chosen],
             timeout=UPDATE_INTERVAL.total_seconds(),
         )
 
     def views(self) -> list[MemberView]:
-        """Return what is known of all hosts."""
+        """Return the status of all peers and all other known hosts."""
         return self.table.views(self._peers.ids, self._clock.monotonic())
 
     def newest_config(self) -> tuple[str, int]:
-        """Return the host in reach with the highest configuration version."""
+        """Return the reachable host with the highest configuration version."""
         return self.table.newest_config()
 
     def _update(self) -> None:
@@ -153,9 +157,9 @@
         )
         self.table.expire(self._clock.monotonic())
 
-    async def _ask(self, host_id: str) -> None:
-        """Ask one peer; suspect it where it does not answer."""
-        for _ in range(TRIES):
+    async def _probe(self, host_id: str) -> None:
+        """Probe one peer, and suspect it if no try is answered."""
+        for _ in range(MAX_TRIES):
             try:
                 reply = await self._peers.ask(host_id, self._hello())
             except PeerError as error:
@@ -165,18 +169,18 @@
                 self._merge(reply)
             return
         if host_id in self._peers.ids and self.table.find(host_id) is not None:
-            log_event("members", "Does not answer.", peer=host_id, why=why)
+            log_event("members", "Peer does not answer.", peer=host_id, why=why)
             self.table.suspect(host_id, self._clock.monotonic())
 
-    def _hello(self, *, first: Sequence[MemberRow] = ()) -> Hello:
-        """Return this host's row, changes to tell, and some rows of others.
+    def _hello(self, *, extra_rows: Sequence[MemberRow] = ()) -> Hello:
+        """Build a message of the local row, pending changes, and a few other rows.
 
         Args:
-            first: Rows to be told in any case.
+            extra_rows: Rows that are sent in any case.
         """
-        news = self.table.pop_updates(UPDATE_ROWS)
-        fill = self.table.sample(max(0, FILL_ROWS - len(news)), self._rng)
-        rows_by_id = {row.host_id: row for row in (*first, *news, *fill)}
+        updates = self.table.pop_updates(UPDATE_ROWS)
+        fill = self.table.sample(max(0, FILL_ROWS - len(updates)), self._rng)
+        rows_by_id = {row.host_id: row for row in (*extra_rows, *updates, *fill)}
         rows_by_id.pop(self.table.own.host_id, None)
         return Hello(
             rows=[self.table.own, *rows_by_id.values()],
@@ -187,27 +191,31 @@
     async def _answer(self, message: Hello) -> Hello:
         self._merge(message)
         self._update()
-        if self._should_tell_all(message):
-            return self._hello(first=self.table.sample(MAX_ROWS, self._rng))
-        # Whoever holds the asker for gone, or knows it from a past life, says so.
-        asker = self.table.find(message.rows[0].host_id)
-        return self._hello(first=() if asker is None else (asker,))
-
-    def _should_tell_all(self, message: Hello) -> bool:
-        """Return whether the asker knows few hosts, and its turn has come."""
+        if self._should_send_all(message):
+            return self._hello(extra_rows=self.table.sample(MAX_ROWS, self._rng))
+        # The reply includes the row that this host has of the requester, which can then
+        # refute it if it is suspect, dead, or of an earlier run.
+        requester = self.table.find(message.rows[0].host_id)
+        return self._hello(extra_rows=() if requester is None else (requester,))
+
+    def _should_send_all(self, message: Hello) -> bool:
+        """Return whether to send all rows to a sender that knows few hosts.
+
+        Returns False once the limit of such replies per second is reached.
+        """
         if 2 * message.known >= self.table.count_reachable():
             return False
-        is_near = message.rows[0].failure_domain == self.table.own.failure_domain
-        if not is_near and message.known > FEW:
+        is_local = message.rows[0].failure_domain == self.table.own.failure_domain
+        if not is_local and message.known > FEW_HOSTS:
             return False
         now = self._clock.monotonic()
         second = timedelta(seconds=1)
-        self._full_answers_at = [
-            at for at in self._full_answers_at if now - at < second
+        self._full_replies_at = [
+            at for at in self._full_replies_at if now - at < second
         ]
-        if len(self._full_answers_at) >= FULL_ANSWERS:
+        if len(self._full_replies_at) >= FULL_REPLIES_PER_SECOND:
             return False
-        self._full_answers_at.append(now)
+        self._full_replies_at.append(now)
         return True
 
     def _merge(self, message: Hello) -> None:
@@ -217,30 +225,33 @@
         self._departures.merge(message.departures)
 
 
-def choose_asked(
+def choose_probed(
     host_ids: Sequence[str],
     table: MemberTable,
     rng: random.Random,
     *,
-    far_part: float = FAR_PART,
+    remote_share: float = REMOTE_SHARE,
 ) -> list[str]:
-    """Choose whom to ask: among many mostly hosts of the own failure domain. Pure.
+    """Choose the peers to probe, in a large fleet mostly of the local domain. Pure.
 
     Args:
-        host_ids: The linked hosts.
-        table: What is known of them.
-        rng: Where the choice comes from.
+        host_ids: The linked hosts to choose from.
+        table: The membership table.
+        rng: The random source.
+        remote_share: Share of rounds in which a host of another domain is probed.
     """
-    near = [host_id for host_id in host_ids if _is_near(table, host_id)]
-    far = [host_id for host_id in host_ids if not _is_near(table, host_id)]
-    if table.count_reachable() < MANY or not near:
-        near, far = list(host_ids), []
-    chosen = rng.sample(near, min(FANOUT, len(near)))
-    if far and rng.random() < far_part:
-        chosen[-1] = rng.choice(far)
+    local = [host_id for host_id in host_ids if _is_in_local_domain(table, host_id)]
+    remote = [
+        host_id for host_id in host_ids if not _is_in_local_domain(table, host_id)
+    ]
+    if table.count_reachable() < DOMAIN_BIAS_MIN_HOSTS or not local:
+        local, remote = list(host_ids), []
+    chosen = rng.sample(local, min(FANOUT, len(local)))
+    if remote and rng.random() < remote_share:
+        chosen[-1] = rng.choice(remote)
     return chosen
 
 
-def _is_near(table: MemberTable, host_id: str) -> bool:
+def _is_in_local_domain(table: MemberTable, host_id: str) -> bool:
     row = table.find(host_id)
     return row is not None and row.failure_domain == table.own.failure_domain
--- a/passtally/messages.py
+++ b/passtally/messages.py
@@ -1,7 +1,7 @@
 """The messages between entry hosts.
 
-They go over the wire as arrays, without the names of their fields: a field is only
-added at the end, with a default.
+They are encoded as arrays without field names. To stay compatible, new fields are only
+added at the end, and with a default.
 """
 
 import msgspec
@@ -10,12 +10,12 @@
 
 
 class CopiedRun(msgspec.Struct, array_like=True):
-    """Token ids of one copy, from a position on.
+    """A run of token ids of one copy.
 
     Attributes:
-        copy_id: The copy; a generation has a new one on each entry host.
-        start: The position of the first one.
-        token_ids: The ids, four bytes each, little-endian.
+        copy_id: The copy's id. A generation gets a new copy on each entry host.
+        start: The position of the first token.
+        token_ids: The token ids, four bytes each, little-endian.
     """
 
     copy_id: str
@@ -24,31 +24,31 @@
 
 
 class StoreCopies(msgspec.Struct, tag="store_copies", array_like=True):
-    """Keep these runs; answered by :class:`CopiesHeld`."""
+    """A request to store runs of copies; answered by :class:`CopiesHeld`."""
 
     runs: list[CopiedRun]
 
 
 class CopiesHeld(msgspec.Struct, tag="copies_held", array_like=True):
-    """How many tokens of each copy are held."""
+    """The number of stored tokens of each copy."""
 
     counts_by_id: dict[str, int]
 
 
 class FetchCopy(msgspec.Struct, tag="fetch_copy", array_like=True):
-    """Send a copy; answered by :class:`CopyFound`."""
+    """A request for a copy; answered by :class:`CopyFound`."""
 
     copy_id: str
 
 
 class CopyFound(msgspec.Struct, tag="copy_found", array_like=True):
-    """A copy's token ids, four bytes each; empty where none is held."""
+    """A copy's token ids, four bytes each; empty if the host stores no such copy."""
 
     token_ids: bytes
 
 
 class AskClaim(msgspec.Struct, tag="ask_claim", array_like=True):
-    """Claim a key in its log; answered by :class:`ClaimAnswer`."""
+    """A request to claim a key in its log; answered by :class:`ClaimAnswer`."""
 
     shard: int
     digest: bytes
@@ -58,10 +58,10 @@
 
 
 class ClaimAnswer(msgspec.Struct, tag="claim_answer", array_like=True):
-    """How a claim ended.
+    """The result of a claim.
 
     Attributes:
-        verdict: A :class:`passtally.claims.ClaimVerdict`.
+        verdict: The value of a :class:`passtally.claims.ClaimVerdict`.
         holder: The host that holds the claim.
     """
 
@@ -70,19 +70,19 @@
 
 
 class FetchResult(msgspec.Struct, tag="fetch_result", array_like=True):
-    """Tell how the call under a key ended; answered by :class:`ResultFound`."""
+    """A request for the result of a keyed call; answered by :class:`ResultFound`."""
 
     digest: bytes
 
 
 class ResultFound(msgspec.Struct, tag="result_found", array_like=True):
-    """How a call ended on the host that held its key.
+    """The result of a call on the host that holds the claim of its key.
 
     Attributes:
-        status: The HTTP status, or 0 where it is not known or not yet.
-        headers: The headers.
-        body: The body.
-        body_digest: What identifies the request's body.
+        status: The HTTP status; 0 if the result is unknown or not there yet.
+        headers: The response headers.
+        body: The response body.
+        body_digest: The digest of the request body.
     """
 
     status: int
@@ -92,19 +92,20 @@
 
 
 class MemberRow(msgspec.Struct, array_like=True, frozen=True):
-    """What is known of one host.
+    """The membership row of one host.
 
     Attributes:
-        host_id: Whose it is.
-        failure_domain: Where it stands.
-        counter: Goes up whenever the host changes what all must know of it, or
-            contradicts what others say of it.
-        config_version: The configuration version in force there.
-        leaving: Whether it is stopping.
-        address: Where its peers reach it; empty where they are told by settings.
-        versions_by_prefix: The newest version known there of the objects under
-            each prefix, as heard from the host itself or soon after.
-        state: A :class:`passtally.member_table.MemberState`.
+        host_id: The host's name.
+        failure_domain: The host's failure domain.
+        counter: The incarnation number of the SWIM protocol. The host increments it
+            when its name, failure domain, address or ``leaving`` changes, or when it
+            refutes a row about itself.
+        config_version: The configuration version in force on the host.
+        leaving: Whether the host is stopping.
+        address: The host's address for its peers; empty if settings name it.
+        versions_by_prefix: The newest object version that the host knows under each
+            prefix. Rows with the same counter are merged, so it may be a little old.
+        state: The value of a :class:`passtally.member_table.MemberState`.
     """
 
     host_id: str
@@ -118,19 +119,19 @@
 
 
 class DepartureRow(msgspec.Struct, array_like=True, frozen=True):
-    """One incarnation of an endpoint that is leaving."""
+    """An incarnation of an endpoint that is leaving."""
 
     endpoint_id: str
     incarnation: int
 
 
 class Hello(msgspec.Struct, tag="hello", array_like=True):
-    """What changed among the hosts; answered by another one of these.
+    """A gossip probe with membership updates; answered by the same type.
 
     Attributes:
-        rows: The sender's own row, and some of others.
+        rows: The sender's row first, then rows of other hosts.
         departures: Endpoints that are leaving.
-        known: How many other hosts the sender knows to be in reach.
+        known: The number of other hosts that the sender knows as reachable.
     """
 
     rows: list[MemberRow]
@@ -139,18 +140,18 @@
 
 
 class FetchConfig(msgspec.Struct, tag="fetch_config", array_like=True):
-    """Send what changed after a version; answered by :class:`ConfigChanges`."""
+    """A request for the changes after a version; see :class:`ConfigChanges`."""
 
     after: int
     prefix: str = "config/"
 
 
 class ObjectRef(msgspec.Struct, array_like=True, frozen=True):
-    """One state of an object that is too large to be sent along.
+    """A reference to a state of an object that is too large for the message.
 
     Attributes:
-        key: The object.
-        version: The store-wide version of its last change.
+        key: The object's key.
+        version: The store-wide version of the change that led to this state.
     """
 
     key: str
@@ -158,12 +159,12 @@
 
 
 class ConfigChanges(msgspec.Struct, tag="config_changes", array_like=True):
-    """Configuration objects, as the platform lists them.
+    """Changed configuration objects, in the platform's format.
 
     Attributes:
-        listing: The JSON of a :class:`passtally.object_store.Listing`; packed, where
-            hosts serve by routes.
-        large: Objects that changed too, to be fetched in parts.
+        listing: The JSON of a :class:`passtally.object_store.Listing`; packed on hosts
+            that serve by routes.
+        large: Further changed objects, to be fetched in parts.
     """
 
     listing: bytes
@@ -171,12 +172,12 @@
 
 
 class FetchPart(msgspec.Struct, tag="fetch_part", array_like=True):
-    """Send a part of a large object; answered by :class:`ObjectPart`.
+    """A request for a part of a large object; answered by :class:`ObjectPart`.
 
     Attributes:
-        host_id: Who asks.
-        ref: The object.
-        offset: Where the part begins, in bytes of the packed object.
+        host_id: The name of the requesting host.
+        ref: The state of the object.
+        offset: The offset of the part in the packed object, in bytes.
     """
 
     host_id: str
@@ -188,8 +189,9 @@
     """A part of a packed object.
 
     Attributes:
-        size: The whole packed object's size in bytes; 0 where it is not held.
-        data: The part; empty where the host is busy with others.
+        size: The size of the complete packed object in bytes; 0 if the host does not
+            have it.
+        data: The bytes of the part; empty if the host is busy with other requests.
     """
 
     size: int
@@ -197,13 +199,13 @@
 
 
 class TokenLoad(msgspec.Struct, array_like=True, frozen=True):
-    """What runs take at one endpoint.
+    """The load of one host's runs on one endpoint.
 
     Attributes:
-        held: Tokens in its memory for runs and replicas.
-        reading: Tokens of prompts that it is still to read.
-        running: Runs that have output already.
-        incarnation: Which start of it, see :class:`passtally.objects.Endpoint`.
+        held: The number of tokens in KV memory, for runs and replicas.
+        reading: The number of prompt tokens that wait for prefill.
+        running: The number of runs with output.
+        incarnation: The endpoint's start, see :class:`passtally.objects.Endpoint`.
     """
 
     held: int = 0
@@ -213,13 +215,14 @@
 
 
 class LimitRow(msgspec.Struct, array_like=True, frozen=True):
-    """The limit that an endpoint names; see :mod:`passtally.request_limits`.
+    """A request limit set by an endpoint; see :mod:`passtally.request_limits`.
 
     Attributes:
         endpoint_id: The endpoint.
-        incarnation: Which start of it.
-        rate: The requests a second that it takes from all hosts; None for no limit.
-        age_ms: How long ago an answer told so.
+        incarnation: The endpoint's start.
+        rate: The requests per second accepted from all hosts together; None for no
+            limit.
+        age_ms: The time since an answer set this limit, in milliseconds.
     """
 
     endpoint_id: str
@@ -229,15 +232,17 @@
 
 
 class HostNews(msgspec.Struct, tag="host_news", array_like=True):
-    """What one host's runs take at endpoints, and which endpoints it lost.
+    """The endpoint loads of one host, and the endpoints that it lost.
 
     Attributes:
-        host_id: The host.
-        loads_by_endpoint: What its runs take at each endpoint; all that take any.
-        lost: Endpoints that it found gone since its last news.
-        is_first: Whether the host has just started, and knows nobody's loads.
-        lost_incarnations: Which starts of the lost endpoints, in the same order.
-        limits: The limits that endpoints name, as far as it knows them.
+        host_id: The sending host.
+        loads_by_endpoint: The load on each endpoint; endpoints without load are left
+            out.
+        lost: Endpoints found dead since the host's last message.
+        is_first: Whether the host has just started and does not know the loads of
+            other hosts yet.
+        lost_incarnations: The starts of the lost endpoints, in the same order.
+        limits: The request limits of endpoints that the host knows.
     """
 
     host_id: str
@@ -248,12 +253,12 @@
     limits: list[LimitRow] = []
 
     def lost_starts(self) -> list[EndpointStart]:
-        """Return the starts of endpoints that it found gone.
+        """Return the starts of the endpoints that the host found dead.
 
-        A host of an earlier version tells no incarnations.
+        Hosts of an earlier version send no incarnations.
         """
-        untold = [UNTOLD_START] * (len(self.lost) - len(self.lost_incarnations))
-        incarnations = [*self.lost_incarnations, *untold]
+        unknown = [UNTOLD_START] * (len(self.lost) - len(self.lost_incarnations))
+        incarnations = [*self.lost_incarnations, *unknown]
         return [
             EndpointStart(endpoint_id=endpoint_id, incarnation=incarnation)
             for endpoint_id, incarnation in zip(self.lost, incarnations, strict=False)
@@ -261,13 +266,14 @@
 
 
 class ViewBeat(msgspec.Struct, tag="view_beat", array_like=True):
-    """A host knows these versions.
+    """A heartbeat with the versions that a host knows.
 
     Attributes:
-        host_id: The host.
+        host_id: The sending host.
         versions_by_prefix: The newest version of an object under each prefix.
-        is_watching: Whether it watches the platform; others tell once, when they
-            have learned something large that they can hand on.
+        is_watching: Whether the host watches the platform. Other hosts send one such
+            message when they have received changes with large objects that they can
+            pass on.
     """
 
     host_id: str
@@ -279,11 +285,12 @@
     """Objects that changed at the platform.
 
     Attributes:
-        prefix: What their keys start with.
-        since: The newest version of an object before; these are all changes after it.
+        prefix: The key prefix of the objects.
+        since: The newest object version before these changes. The message contains all
+            changes after it.
         listing: The packed JSON of a :class:`passtally.object_store.Listing`.
-        host_id: Who tells.
-        large: Objects that changed too, to be fetched in parts.
+        host_id: The sending host.
+        large: Further changed objects, to be fetched in parts.
     """
 
     prefix: str
@@ -294,12 +301,12 @@
 
 
 class BorrowRepeats(msgspec.Struct, tag="borrow_repeats", array_like=True):
-    """Lend some of the repeats that are left; answered by :class:`RepeatsLent`.
+    """A request to borrow from a retry budget; answered by :class:`RepeatsLent`.
 
     Attributes:
-        service: Of which service.
-        amount: How many, or what part of one.
-        scope: Of which budgets; empty for those of repeats.
+        service: The service whose budget to borrow from.
+        amount: The number of retries; may be a fraction.
+        scope: The kind of budget; empty for retry budgets.
     """
 
     service: str
@@ -308,20 +315,20 @@
 
 
 class RepeatsLent(msgspec.Struct, tag="repeats_lent", array_like=True):
-    """How many repeats, or what part of one, the asker may use."""
+    """The number of retries lent to the requester; may be a fraction."""
 
     amount: float
 
 
 class AnswerCounts(msgspec.Struct, array_like=True, frozen=True):
-    """What one host counted of one route's answers; see :mod:`version_evidence`.
+    """Answer counts of one route on one host; see :mod:`passtally.version_evidence`.
 
     Attributes:
         route: The route, or a measure of it.
-        endpoint_id: The endpoint of the new version; empty for the version before.
-        answers: How many came, or should have.
-        failures: How many of them failed or did not come whole.
-        times: How many took how long, by the number of the time's bucket.
+        endpoint_id: The endpoint of the new version; empty for the previous version.
+        answers: The number of expected answers, received or not.
+        failures: The number of answers that failed or were incomplete.
+        times: The number of answers in each bucket of response time, by bucket number.
     """
 
     route: str
@@ -332,15 +339,15 @@
 
 
 class HostEvidence(msgspec.Struct, array_like=True, frozen=True):
-    """What one host tells of a roll-out.
+    """The evidence of one host in a roll-out.
 
     Attributes:
         host_id: The host.
-        life: What tells its start from its earlier ones.
-        revision: Goes up with each change.
-        counts: What it counted.
-        state: The state that the roll-out has there.
-        open_before: Its requests that are open at the version before.
+        life: An id of this run of the host, which distinguishes it from earlier runs.
+        revision: A number that the host increments with each change.
+        counts: The answer counts of the host.
+        state: The state of the roll-out on the host.
+        open_before: The number of the host's open requests to the previous version.
     """
 
     host_id: str
@@ -352,11 +359,11 @@
 
 
 class RolloutNews(msgspec.Struct, tag="rollout_news", array_like=True):
-    """What hosts tell of a roll-out, each of itself, handed on by others.
+    """Evidence of several hosts in a roll-out, forwarded by any host.
 
     Attributes:
-        order_id: The roll-out.
-        hosts: What they tell.
+        order_id: The id of the roll-out.
+        hosts: The evidence of each host.
     """
 
     order_id: str
@@ -364,13 +371,15 @@
 
 
 class CrashRow(msgspec.Struct, array_like=True, frozen=True):
-    """A request under which endpoints ended; see :mod:`passtally.quarantine`.
+    """The crashes attributed to one request; see :mod:`passtally.quarantine`.
 
     Attributes:
-        fingerprint: The request.
-        crashed: The starts of endpoints that may have ended by it.
-        cleared: The starts of endpoints that ended under it, and not by it.
-        age_ms: How long ago the last one ended.
+        fingerprint: The request's fingerprint.
+        crashed: The starts of endpoints that crashed while running the request, and
+            may have crashed because of it.
+        cleared: The starts of endpoints that crashed while running the request, but
+            not because of it.
+        age_ms: The time since the last crash, in milliseconds.
     """
 
     fingerprint: bytes
@@ -380,13 +389,13 @@
 
 
 class QuarantineNews(msgspec.Struct, tag="quarantine_news", array_like=True):
-    """What a host knows of requests under which endpoints ended."""
+    """The requests that a host knows to have run on endpoints when they crashed."""
 
     rows: list[CrashRow]
 
 
 class FetchQuarantine(msgspec.Struct, tag="fetch_quarantine", array_like=True):
-    """Tell of all requests that matter; answered by :class:`QuarantineNews`."""
+    """A request for all current crash rows; answered by :class:`QuarantineNews`."""
 
 
 Message = (
--- a/passtally/mirror.py
+++ b/passtally/mirror.py
@@ -1,4 +1,4 @@
-"""The newest state of all objects under one prefix, and what changed since. Pure."""
+"""The newest state of all objects under one prefix, and the changes to it. Pure."""
 
 from collections.abc import Sequence
 
@@ -10,12 +10,12 @@
 
 
 class ObjectMirror:
-    """Takes in listings and changes in any order; older ones change nothing.
+    """Merges listings and changes in any order; outdated ones have no effect.
 
     Attributes:
-        version: The store-wide version of the newest change taken in.
-        newest: The newest version of an object taken in.
-        complete_since: From which version on it knows of all removals.
+        version: The highest store-wide version of the listings and changes merged.
+        newest: The highest version of an object in the mirror.
+        complete_since: The version from which on the mirror knows all removals.
     """
 
     def __init__(self) -> None:
@@ -23,35 +23,35 @@
         self.newest = 0
         self.complete_since = 0
         self._stored_by_key: dict[str, StoredObject] = {}
-        #: Whether the next whole listing may be of another store.
-        self.is_renewed = False
+        #: Whether the next complete listing may come from another store.
+        self.expects_new_store = False
 
-    def renew(self) -> None:
-        """Take the next whole listing as it is: the store's address has changed.
+    def expect_new_store(self) -> None:
+        """Accept the next complete listing even if its versions are lower.
 
-        What another store holds counts, also where its versions are lower. Until it
-        answers, what is known stays in force. Where its era is later than the one that
-        is known, it is the same store, and all its versions are higher.
+        Called when the store's address has changed and may lead to another store. Until
+        the first listing from there, the known state stays in force. A listing of a
+        later era than the known one needs no special treatment: it comes from the same
+        store, and all its versions are higher.
         """
-        self.is_renewed = True
+        self.expects_new_store = True
 
     @property
     def versions_by_key(self) -> dict[str, int]:
-        """The version of each object taken in, removed ones too."""
+        """The version of each object in the mirror, removed objects included."""
         return {key: stored.version for key, stored in self._stored_by_key.items()}
 
     def replace(self, listing: Listing) -> list[StoredObject] | None:
-        """Take in a whole listing.
+        """Replace the state by a complete listing.
 
         Returns:
-            The objects that changed, or None where the listing is older than what
-            was taken in.
+            The objects that changed, or None if the listing is older than the mirror.
         """
-        if self.is_renewed and era_of(listing.version) <= era_of(self.version):
-            self._forget_versions(listing)
+        if self.expects_new_store and era_of(listing.version) <= era_of(self.version):
+            self._reset_versions(listing)
         elif listing.version < self.version:
             return None
-        self.is_renewed = False
+        self.expects_new_store = False
         if not self.version:
             self.complete_since = listing.version
         listed = {stored.key for stored in listing.objects}
@@ -60,12 +60,15 @@
             for key, stored in self._stored_by_key.items()
             if key not in listed and not stored.is_removed
         ]
-        changed = self._take([*removed, *listing.objects])
+        changed = self._apply([*removed, *listing.objects])
         self.version = listing.version
         return changed
 
-    def _forget_versions(self, listing: Listing) -> None:
-        """Let a listing change all that it holds otherwise, at whatever version."""
+    def _reset_versions(self, listing: Listing) -> None:
+        """Reset the versions of objects that a listing of another store changes.
+
+        These objects are then replaced by the listing whatever its versions are.
+        """
         self.version = self.newest = 0
         listed_by_key = {stored.key: stored for stored in listing.objects}
         for key, stored in list(self._stored_by_key.items()):
@@ -75,16 +78,16 @@
                 self._stored_by_key[key] = attrs.evolve(stored, version=0)
 
     def advance(self, changes: Listing) -> list[StoredObject]:
-        """Take in changes and return the newest state of each object that changed."""
+        """Merge changes, and return the newest state of each object that changed."""
         if not self.version:
             self.complete_since = changes.version
-        gone = [] if changes.keys is None else self._find_gone(changes)
-        changed = self._take([*gone, *changes.objects])
+        removed = [] if changes.keys is None else self._find_removed(changes)
+        changed = self._apply([*removed, *changes.objects])
         self.version = max(self.version, changes.version)
         return changed
 
     def find(self, key: str) -> StoredObject | None:
-        """Return the newest state of an object that was taken in, or None."""
+        """Return the newest state of an object, removed or not, or None if unknown."""
         return self._stored_by_key.get(key)
 
     def current_versions(self) -> dict[str, int]:
@@ -98,8 +101,9 @@
     def changes_after(self, version: int) -> Listing:
         """Return the newest state of all objects that changed after a version.
 
-        Who began to follow after that version can't tell of each removal, and tells
-        what exists instead. Who knows nothing yet needs to be told of none.
+        If this mirror does not know all removals since that version, the result also
+        contains the keys of all existing objects. For version 0 it does not, since the
+        requesting host has no objects to remove.
         """
         changed = (
             stored
@@ -111,8 +115,8 @@
             keys = tuple(self.current_versions())
         return Listing(version=self.version, objects=tuple(changed), keys=keys)
 
-    def _find_gone(self, changes: Listing) -> list[StoredObject]:
-        """Return the removals of what existed before and exists no more."""
+    def _find_removed(self, changes: Listing) -> list[StoredObject]:
+        """Return removals of the objects whose keys are not among the existing keys."""
         existing = set(changes.keys)
         return [
             StoredObject(key=key, version=changes.version, value=msgspec.Raw(REMOVED))
@@ -122,13 +126,13 @@
             and stored.version <= changes.version
         ]
 
-    def _take(self, objects: Sequence[StoredObject]) -> list[StoredObject]:
-        """Return what was new: of each object its newest state alone.
+    def _apply(self, objects: Sequence[StoredObject]) -> list[StoredObject]:
+        """Store newer states, and return the newest state of each changed object.
 
-        One answer may hold several states of an object that changes often. Only the
-        newest can be handed on, since no host keeps the others: a host that is told of
-        two asks in vain for the older one: 43 in 100 tries among 74 hosts whose
-        configuration changed every 200 ms.
+        An answer may hold several states of an object that changes often. Only the
+        newest is returned and passed on, since no host keeps the others. A host that
+        was sent two states requested the older one in vain: 43% of all requests failed
+        so among 74 hosts with a configuration change every 200 ms.
         """
         changed_by_key: dict[str, StoredObject] = {}
         for stored in objects:
--- a/passtally/peers.py
+++ b/passtally/peers.py
@@ -1,7 +1,7 @@
 """Messages between entry hosts, over ZeroMQ.
 
-Every message is signed with a resume key, so that only hosts of this system
-are heard. Messages may be lost; whoever asks sets a time limit.
+Every message is signed with a resume key, so that only messages from hosts of this
+system are accepted. Messages may be lost, so each request has a timeout.
 """
 
 import asyncio
@@ -22,43 +22,45 @@
 from passtally.messages import Message
 from passtally.settings import Address, PeerAddress
 
+#: Default timeout of a request.
 ASK_TIMEOUT = timedelta(milliseconds=500)
+#: Maximum number of messages that are queued on each link and in each direction.
 HIGH_WATER_MARK = 1000
 MAC_BYTES = 12
-#: What BLAKE2b takes of a key.
+#: Maximum key length of BLAKE2b, in bytes; longer keys are cut.
 MAX_KEY_BYTES = 64
-#: How often links are checked, and after what silence they are opened anew, in
-#: milliseconds.
+#: Heartbeat interval of outgoing links, and the silence after which a link is
+#: reconnected, in milliseconds.
 HEARTBEAT_MS = 1000
 HEARTBEAT_TIMEOUT_MS = 1500
-#: The same where other hosts' links come in, in milliseconds. Whoever opened a link
-#: sees to it; here its end is only noted, so that a link whose host is gone is closed.
-#: With both ends asking each second, a host with 26 links sent and heard 104 of these
-#: a second, each a wake-up.
+#: Heartbeat interval and timeout of incoming links, in milliseconds. The host that
+#: opened a link checks and reconnects it; this end only has to close links of dead
+#: hosts. With heartbeats each second from both ends, a host with 26 links sent and
+#: received 104 of them a second, and each woke up the process.
 INCOMING_HEARTBEAT_MS = 10_000
 INCOMING_TIMEOUT_MS = 15_000
-#: How long a link may take to come up before it is tried anew, in milliseconds. Left
-#: to itself TCP asks a host that was cut off after 1, 3, 7 and 15 seconds only.
+#: Timeout of a connection attempt, in milliseconds. Without it TCP retries a host
+#: behind a network partition only after 1, 3, 7 and 15 seconds.
 CONNECT_TIMEOUT_MS = 300
-#: The longest pause between two tries, in milliseconds.
+#: Maximum delay between two connection attempts, in milliseconds.
 RECONNECT_MS = 500
 
-#: What is to be free before libzmq makes its first socket, and before it binds one. It
-#: ends the process where it lacks a descriptor at some of its steps.
+#: Number of file descriptors that must be free before libzmq opens its first socket,
+#: and before it binds one. In some places libzmq aborts the process if it gets none.
 START_DESCRIPTORS = 12
 BIND_DESCRIPTORS = 4
 
-_ASK = b"?"
+_REQUEST = b"?"
 _REPLY = b"!"
-_TELL = b"."
+_NOTIFICATION = b"."
 
 
 class PeerError(Exception):
-    """A peer did not answer.
+    """A request to a peer was not answered.
 
     Args:
-        message: What happened.
-        step: What was asked.
+        message: The cause.
+        step: The type of the request.
         peer: The peer's name.
     """
 
@@ -69,15 +71,15 @@
 
 
 class UnknownPeerError(PeerError):
-    """There is no link to a peer, or none yet; it may well answer others.
+    """There is no link to a peer, or not yet; the peer itself may be healthy.
 
     Args:
-        step: What was asked.
+        step: The type of the request.
         peer: The peer's name.
     """
 
     def __init__(self, *, step: str, peer: str) -> None:
-        super().__init__("there is no such peer", step=step, peer=peer)
+        super().__init__("there is no link to this peer", step=step, peer=peer)
 
 
 Answerer = Callable[[Any], Awaitable[Message]]
@@ -91,9 +93,9 @@
 
     Args:
         host_id: This host's name.
-        listen: Where it is reached.
-        peers_by_id: Where its peers are reached.
-        keys: The keys that messages may be signed with; the first one signs.
+        listen: The address on which this host listens.
+        peers_by_id: The peers to link to at the start, by name.
+        keys: The accepted signing keys; the first one signs this host's messages.
     """
 
     def __init__(
@@ -112,13 +114,13 @@
         self._context = zmq.asyncio.Context()
         self._router: zmq.asyncio.Socket | None = None
         self._sockets_by_id: dict[str, zmq.asyncio.Socket] = {}
-        self._unheard: set[str] = set()
-        #: How many questions wait for each link to come up.
-        self._waiting_by_host: Counter[str] = Counter()
+        self._unreachable_ids: set[str] = set()
+        #: Number of requests that wait for each link to connect.
+        self._waiting_requests_by_host: Counter[str] = Counter()
         self._readers_by_id: dict[str, asyncio.Task[None]] = {}
-        self._answerers_by_type: dict[type, Answerer] = {}
+        self._handlers_by_type: dict[type, Answerer] = {}
         self._listeners_by_type: dict[type, Callable[[Any], None]] = {}
-        self._waiting_by_number: dict[int, asyncio.Future[Message]] = {}
+        self._replies_by_number: dict[int, asyncio.Future[Message]] = {}
         self._numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -134,30 +136,30 @@
             peer.host_id: peer.failure_domain for peer in self._peers_by_id.values()
         }
 
-    def on(self, kind: type, answerer: Answerer) -> None:
-        """Answer messages of one type."""
-        self._answerers_by_type[kind] = answerer
+    def on(self, kind: type, handler: Answerer) -> None:
+        """Set the handler that answers requests of one type."""
+        self._handlers_by_type[kind] = handler
 
     def listen(self, kind: type, listener: Callable[[Any], None]) -> None:
-        """Hear messages of one type that need no answer."""
+        """Set the listener for notifications, which get no reply, of one type."""
         self._listeners_by_type[kind] = listener
 
     def use_keys(self, keys: Sequence[bytes], *, former: Sequence[bytes] = ()) -> None:
         """Change the keys.
 
-        Hosts are told of a change one after the other. What is signed with the keys of
-        before as well is heard by all of them meanwhile.
+        Hosts receive a change one after the other. Messages that are also signed with
+        the former keys are accepted by all hosts in the meantime.
 
         Args:
-            keys: The keys that messages may be signed with; the first one signs.
-            former: Keys of before that sign too.
+            keys: The accepted signing keys; the first one signs this host's messages.
+            former: Former keys that are accepted and also sign each message.
         """
         former = [key for key in former if key not in keys]
         self._keys = [key[:MAX_KEY_BYTES] for key in (*keys, *former)]
         self._signing_keys = [key[:MAX_KEY_BYTES] for key in (keys[0], *former)]
 
     def start(self) -> None:
-        """Open a link to each peer; others come in once the address is bound.
+        """Open a link to each peer; incoming links need :meth:`bind`.
 
         Raises:
             OSError: Too few descriptors are free.
@@ -171,13 +173,13 @@
             self._connect(peer)
 
     async def bind(self, address: Address | None = None) -> None:
-        """Listen for other hosts, besides where this host listens already.
+        """Accept links on an address, in addition to those bound before.
 
         Args:
-            address: Where; None for the address that was told at first.
+            address: The address; None for the one given to the constructor.
 
         Raises:
-            OSError: The address can't be had now.
+            OSError: The address can't be bound now, or too few descriptors are free.
         """
         check_free(BIND_DESCRIPTORS)
         try:
@@ -186,23 +188,23 @@
             raise OSError(error.errno, error.strerror) from error
 
     def unbind(self, address: Address) -> None:
-        """Listen at an address no more; links that came in there are closed."""
+        """Stop listening on an address, and close the links accepted there."""
         try:
             self._router.unbind(f"tcp://{address}")
         except zmq.ZMQError as error:
-            log_event("peers", "Not let go.", listen=address, why=error)
+            log_event("peers", "Could not stop listening.", listen=address, why=error)
 
     def add_peer(self, peer: PeerAddress) -> None:
-        """Open a link to a peer that was not known, or whose address changed.
+        """Open a link to a peer that is new or whose address changed.
 
         Raises:
-            zmq.ZMQError: None can be opened now, for want of descriptors.
+            zmq.ZMQError: No socket can be opened now, for lack of descriptors.
         """
         known = self._peers_by_id.get(peer.host_id)
         if peer == known:
             return
         self.remove_peer(peer.host_id)
-        # A peer counts as known only with a link: the next try opens what is missing.
+        # Recorded only after the link is open, so that a failed call can be retried.
         self._connect(peer)
         self._peers_by_id[peer.host_id] = peer
 
@@ -219,82 +221,88 @@
         return [peer.host_id for peer in peers if peer.address == address]
 
     async def is_reachable(self, host_id: str) -> bool:
-        """Return whether the link to a peer is up: its heartbeats are answered."""
+        """Return whether the link to a peer is up, with its heartbeats answered."""
         socket = self._sockets_by_id.get(host_id)
         return socket is not None and bool(await socket.poll(0, zmq.POLLOUT))
 
     async def stop(self) -> None:
-        """Close all links at once; what was not sent is dropped."""
+        """Close all links at once, and drop unsent messages."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._context.destroy(linger=0)
 
     async def send_message(self, host_ids: Sequence[str], message: Message) -> set[str]:
-        """Send a message that needs no answer; it may be lost.
+        """Send a notification to some hosts; it gets no reply, and may be lost.
 
         Returns:
-            The hosts whose links took it.
+            The hosts whose links accepted the message.
         """
-        told: set[str] = set()
+        sent: set[str] = set()
         for host_id in host_ids:
             socket = self._sockets_by_id.get(host_id)
             if socket is None:
                 continue
             try:
-                # Behind a question that waits, this would wait as well, and be
-                # cancelled with the link: an endless task that tells would end.
-                if self._waiting_by_host[host_id]:
+                # Behind a request that waits for the link, this send would wait too.
+                # It would be cancelled when the link is removed, which would end the
+                # background task that sends.
+                if self._waiting_requests_by_host[host_id]:
                     raise zmq.Again
-                await self._send(socket, [_TELL, _pack_number(0)], message)
+                await self._send(socket, [_NOTIFICATION, _pack_number(0)], message)
             except zmq.Again:
-                if host_id not in self._unheard:
-                    log_event("peers", "Out of reach, news is dropped.", peer=host_id)
-                self._unheard.add(host_id)
+                if host_id not in self._unreachable_ids:
+                    log_event(
+                        "peers", "Peer unreachable, message dropped.", peer=host_id
+                    )
+                self._unreachable_ids.add(host_id)
             else:
-                self._unheard.discard(host_id)
-                told.add(host_id)
-        return told
+                self._unreachable_ids.discard(host_id)
+                sent.add(host_id)
+        return sent
 
     async def ask(
         self, host_id: str, message: Message, *, timeout: timedelta = ASK_TIMEOUT
     ) -> Message:
-        """Send a message and wait for its answer.
+        """Send a request and wait for its reply.
 
         Raises:
-            PeerError: There is no such peer, or none answered in time.
+            PeerError: There is no link to the peer, or it did not reply in time.
         """
         step = type(message).__name__
         if host_id not in self._sockets_by_id:
             raise UnknownPeerError(step=step, peer=host_id)
         number = next(self._numbers)
         future = asyncio.get_running_loop().create_future()
-        self._waiting_by_number[number] = future
+        self._replies_by_number[number] = future
         try:
             async with asyncio.timeout(timeout.total_seconds()):
-                await self._send_when_up(host_id, [_ASK, _pack_number(number)], message)
+                await self._send_when_up(
+                    host_id, [_REQUEST, _pack_number(number)], message
+                )
                 return await future
         except TimeoutError as error:
             raise PeerError("no answer in time", step=step, peer=host_id) from error
         except asyncio.CancelledError as error:
-            # Letting go of a link cancels what waits for it, not who asked.
+            # The removal of a link cancels the sends that wait for it. Unless this task
+            # itself was cancelled, the caller gets an error instead.
             if asyncio.current_task().cancelling():
                 raise
             raise UnknownPeerError(step=step, peer=host_id) from error
         finally:
-            del self._waiting_by_number[number]
+            del self._replies_by_number[number]
 
     async def _send_when_up(
         self, host_id: str, head: list[bytes], message: Message
     ) -> None:
-        """Send a message; a link that is coming up is waited for."""
-        self._waiting_by_host[host_id] += 1
+        """Send a message, after waiting for the link to connect if need be."""
+        self._waiting_requests_by_host[host_id] += 1
         try:
             await self._send(self._sockets_by_id[host_id], head, message, flags=0)
         finally:
-            self._waiting_by_host[host_id] -= 1
-            if not self._waiting_by_host[host_id]:
-                del self._waiting_by_host[host_id]
+            self._waiting_requests_by_host[host_id] -= 1
+            if not self._waiting_requests_by_host[host_id]:
+                del self._waiting_requests_by_host[host_id]
 
     def _connect(self, peer: PeerAddress) -> None:
         dealer = self._open(zmq.DEALER)
@@ -310,8 +318,8 @@
         socket.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MS)
         socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
-        # What could not be sent while a peer was out of reach is dropped: it would
-        # be taken for news when the peer is back.
+        # Messages to an unreachable peer are dropped. If they were queued, the peer
+        # would take outdated messages for current ones once it is reachable again.
         socket.setsockopt(zmq.IMMEDIATE, 1)
         socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
         socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
@@ -321,21 +329,21 @@
         while True:
             frames = await router.recv_multipart()
             try:
-                self._take(router, frames)
+                self._dispatch(router, frames)
             except Exception as error:
-                # One message must not make this host deaf to all that follow.
-                log_event("peers", "Could not take a message.", why=repr(error))
+                # An error in one message must not stop the loop that receives all.
+                log_event("peers", "Could not handle a message.", why=repr(error))
 
-    def _take(self, router: zmq.asyncio.Socket, frames: list[bytes]) -> None:
-        if len(frames) != 5 or frames[1] not in (_ASK, _TELL):
+    def _dispatch(self, router: zmq.asyncio.Socket, frames: list[bytes]) -> None:
+        if len(frames) != 5 or frames[1] not in (_REQUEST, _NOTIFICATION):
             return
-        message = self._read(frames[1:])
-        if frames[1] == _TELL:
+        message = self._verify_and_decode(frames[1:])
+        if frames[1] == _NOTIFICATION:
             self._receive(message)
             return
-        answerer = self._answerers_by_type.get(type(message))
-        if answerer is not None:
-            self._spawn(self._answer(router, frames, answerer, message))
+        handler = self._handlers_by_type.get(type(message))
+        if handler is not None:
+            self._spawn(self._answer(router, frames, handler, message))
 
     def _receive(self, message: Message | None) -> None:
         listener = self._listeners_by_type.get(type(message))
@@ -346,13 +354,18 @@
         self,
         router: zmq.asyncio.Socket,
         frames: list[bytes],
-        answerer: Answerer,
+        handler: Answerer,
         message: Message,
     ) -> None:
         try:
-            reply = await answerer(message)
+            reply = await handler(message)
         except Exception as error:
-            log_event("peers", "Could not answer.", kind=type(message), why=repr(error))
+            log_event(
+                "peers",
+                "Could not answer a request.",
+                kind=type(message),
+                why=repr(error),
+            )
             return
         await self._send(router, [frames[0], _REPLY, frames[2]], reply)
 
@@ -361,14 +374,14 @@
     ) -> None:
         while True:
             frames = await dealer.recv_multipart()
-            if frames[0] in (_ASK, _TELL):
-                _open_anew(dealer, peer)
+            if frames[0] in (_REQUEST, _NOTIFICATION):
+                _reconnect(dealer, peer)
                 continue
             if len(frames) != 4 or frames[0] != _REPLY:
                 continue
-            message = self._read(frames)
+            message = self._verify_and_decode(frames)
             number = int.from_bytes(frames[1])
-            future = self._waiting_by_number.get(number)
+            future = self._replies_by_number.get(number)
             if message is not None and future is not None and not future.done():
                 future.set_result(message)
 
@@ -385,18 +398,23 @@
         self.bytes_sent += len(payload) + len(mac) + sum(map(len, head))
         await socket.send_multipart([*head, payload, mac], flags=flags)
 
-    def _read(self, frames: list[bytes]) -> Message | None:
+    def _verify_and_decode(self, frames: list[bytes]) -> Message | None:
         kind, number, payload, mac = frames
         macs = [_sign(key, [kind, number], payload) for key in self._keys]
         signed = [mac[at : at + MAC_BYTES] for at in range(0, len(mac), MAC_BYTES)]
         pairs = itertools.product(macs, signed)
-        if not any(hmac.compare_digest(expected, told) for expected, told in pairs):
+        if not any(
+            hmac.compare_digest(expected, received) for expected, received in pairs
+        ):
             log_event("peers", "Dropped a message with a wrong signature.")
             return None
         try:
             return _decode(payload)
         except msgspec.MsgspecError as error:
-            log_event("peers", "Dropped a message of another version.", why=error)
+            # The sender probably runs another version of passtally.
+            log_event(
+                "peers", "Dropped a message that could not be decoded.", why=error
+            )
             return None
 
     def _spawn(self, work: Any) -> asyncio.Task[None]:
@@ -406,14 +424,15 @@
         return task
 
 
-def _open_anew(dealer: zmq.asyncio.Socket, peer: PeerAddress) -> None:
-    """Leave a connection that sends back what is sent: it leads to itself.
+def _reconnect(dealer: zmq.asyncio.Socket, peer: PeerAddress) -> None:
+    """Reconnect a link whose TCP connection is connected to itself.
 
-    A client that tries a local port where nobody listens can be given that very port.
-    Heartbeats are answered, so the connection would last, and keep the peer from
-    listening there.
+    A client that connects to a local port on which no process listens may get that same
+    port as its source port. It then receives its own messages, and also answers its own
+    heartbeats, so that the connection would last and keep the peer from binding the
+    port.
     """
-    log_event("peers", "A link leads to itself, opening it anew.", peer=peer.host_id)
+    log_event("peers", "Link connected to itself, reconnecting.", peer=peer.host_id)
     dealer.disconnect(f"tcp://{peer.address}")
     dealer.connect(f"tcp://{peer.address}")
 
--- a/passtally/roster.py
+++ b/passtally/roster.py
@@ -1,4 +1,4 @@
-"""Finds the other entry hosts: from a few seeds, then from each other."""
+"""Discovery of the other entry hosts, first by seeds and then by gossip."""
 
 from collections.abc import Collection, Sequence
 from datetime import timedelta
@@ -12,26 +12,26 @@
 from passtally.ranking import rank_of
 from passtally.settings import Address, PeerAddress, parse_address
 
-#: How often links are made to hosts that gossip has told of.
+#: Interval between updates of the links to the hosts in the membership table.
 LINK_INTERVAL = timedelta(milliseconds=500)
-#: How long links take to come up before the first message.
+#: Time that new links to seeds are given to connect before the first message.
 CONNECT_PAUSE = timedelta(milliseconds=50)
-#: Up to so many hosts all link to each other.
+#: Number of hosts, the local one included, up to which all are linked to each other.
 MAX_LINKS = 24
-#: Among more, each links to so many hosts of its failure domain, half of them the
-#: next and half the last ones in the order of names, and to one of each other domain:
-#: its cost does not grow.
+#: Number of links of each host to hosts of its failure domain in larger fleets: half
+#: to the next and half to the previous ones in the ring of names. With one more link to
+#: each other domain, the cost for a host does not grow with the number of hosts.
 RING_LINKS = 8
 SEED_PREFIX = "seed-"
 
 
 class Roster:
-    """Links this host to all hosts that gossip tells of.
+    """Opens and closes links as the membership table changes.
 
     Args:
-        seeds: Where some hosts may be reached; they may be stale.
-        table: The hosts that gossip tells of.
-        peers: The links.
+        seeds: Addresses of a few hosts to start from; they may be outdated.
+        table: The membership table, filled by gossip.
+        peers: The links to other hosts.
         clock: The clock.
     """
 
@@ -47,22 +47,22 @@
         self._table = table
         self._peers = peers
         self._clock = clock
-        #: The most hosts that were in reach at once, this one included.
+        #: Maximum number of hosts reachable at once so far, this host included.
         self.peak = 1
-        #: Whether this host is to be linked to all hosts of its failure domain.
+        #: Whether to link to all hosts of the local failure domain.
         self.links_domain = False
-        #: Hosts that this one learns from and so is linked to in any case.
+        #: Hosts that are linked in any case: this host gets its updates from them.
         self.source_ids: Collection[str] = ()
         self._linked_ids: set[str] = set()
-        #: What the links were last chosen by.
+        #: The inputs of the last choice of links.
         self._chosen_by: tuple[int, bool, frozenset[str]] | None = None
 
     def others(self) -> list[MemberRow]:
-        """Return the rows of the other hosts that are in reach."""
+        """Return the rows of the other hosts that are reachable."""
         return self._table.reachable()
 
     def use_seeds(self, seeds: Sequence[Address]) -> None:
-        """Take other seeds; links to those of before that nobody answered on end."""
+        """Replace the seeds, and close links to former seeds that never answered."""
         self._seeds = seeds
         kept = {f"{SEED_PREFIX}{address}" for address in seeds}
         for host_id in self._peers.ids:
@@ -71,7 +71,7 @@
         self.link_seeds()
 
     def link_seeds(self) -> None:
-        """Open links to the seeds, by their addresses alone."""
+        """Open links to the seeds, whose host names are not known yet."""
         own = self._table.own.address
         for address in self._seeds:
             if str(address) != own and not self._peers.find(address):
@@ -84,7 +84,7 @@
                 )
 
     async def run(self, gossip: Gossip) -> None:
-        """Open links to hosts that gossip has told of, for ever."""
+        """Keep the links up to date with the membership table until cancelled."""
         self.link_seeds()
         await self._clock.sleep(CONNECT_PAUSE)
         await gossip.run_round()
@@ -93,7 +93,7 @@
             await self._clock.sleep(LINK_INTERVAL)
 
     def update_links(self) -> None:
-        """Open links to the hosts that it is this host's part to know."""
+        """Open and close links if the membership or the needs of this host changed."""
         sources = frozenset(self.source_ids)
         chosen_by = (self._table.revision, self.links_domain, sources)
         if chosen_by == self._chosen_by and self._linked_ids:
@@ -103,78 +103,80 @@
         self.peak = max(self.peak, len(rows) + 1)
         chosen = choose_links(self._table.own, rows, whole_domain=self.links_domain)
         chosen += [row for row in rows if row.host_id in self.source_ids]
-        # A name that this host had before is gone, too.
+        # A row with the address of this host belongs to one of its former names.
         dead = [row for row in self._table.dead() if row.address != own_address]
         chosen += pick_dead_hosts(dead, [self._table.own, *rows])
         rows_by_id = {row.host_id: row for row in chosen if row.address}
-        self._let_go(rows_by_id)
+        self._remove_other_peers(rows_by_id)
         for row in rows_by_id.values():
             self._link(row)
         self._linked_ids = set(rows_by_id)
-        # Noted last: what could not be opened is tried again.
+        # Set last, so that links that could not be opened are retried.
         self._chosen_by = chosen_by
         if not rows:
             self.link_seeds()
 
     def _link(self, row: MemberRow) -> None:
         address = parse_address(row.address)
-        self._forget_seed(address)
+        self._remove_seed(address)
         if row.host_id not in self._peers.ids:
-            log_event("roster", "Met.", peer=row.host_id, address=row.address)
+            log_event(
+                "roster", "Linked to a peer.", peer=row.host_id, address=row.address
+            )
         self._peers.add_peer(
             PeerAddress(
                 host_id=row.host_id, failure_domain=row.failure_domain, address=address
             )
         )
 
-    def _let_go(self, kept_ids: Collection[str]) -> None:
+    def _remove_other_peers(self, kept_ids: Collection[str]) -> None:
         for host_id in self._peers.ids:
             if host_id not in kept_ids and not host_id.startswith(SEED_PREFIX):
-                log_event("roster", "Let go.", peer=host_id)
+                log_event("roster", "Closed the link to a peer.", peer=host_id)
                 self._peers.remove_peer(host_id)
 
     @property
     def is_fully_linked(self) -> bool:
-        """Whether all hosts in reach are linked to each other."""
+        """Whether all reachable hosts are linked to each other."""
         return len(self.others()) < MAX_LINKS
 
     def neighbours(self) -> list[MemberRow]:
         """Return the rows of the linked hosts of this failure domain."""
-        return [row for row in self._domain() if row.host_id in self._linked_ids]
+        return [row for row in self._local_domain() if row.host_id in self._linked_ids]
 
     def domain_ids(self) -> list[str]:
-        """Return the other hosts of this failure domain that are in reach."""
-        return [row.host_id for row in self._domain()]
+        """Return the reachable other hosts of this failure domain."""
+        return [row.host_id for row in self._local_domain()]
 
     @property
     def own(self) -> MemberRow:
-        """This host's row."""
+        """The current row of the local host."""
         return self._table.own
 
     @property
     def revision(self) -> int:
-        """Goes up whenever what is known of the hosts changes."""
+        """A number that increases with each change of the membership table."""
         return self._table.revision
 
     @property
     def failure_domain(self) -> str:
-        """This host's failure domain."""
+        """The failure domain of the local host."""
         return self._table.own.failure_domain
 
     def far_ids(self) -> list[str]:
-        """Return the linked hosts of other failure domains, heard of not long ago."""
+        """Return the reachable linked hosts of other failure domains."""
         own = self.failure_domain
         return [row.host_id for row in self.linked() if row.failure_domain != own]
 
-    def _domain(self) -> list[MemberRow]:
+    def _local_domain(self) -> list[MemberRow]:
         own = self.failure_domain
         return [row for row in self.others() if row.failure_domain == own]
 
     def linked(self) -> list[MemberRow]:
-        """Return the rows of the hosts in reach that this one is linked to."""
+        """Return the rows of the reachable hosts that this host is linked to."""
         return [row for row in self.others() if row.host_id in self._linked_ids]
 
-    def _forget_seed(self, address: Address) -> None:
+    def _remove_seed(self, address: Address) -> None:
         for host_id in self._peers.find(address):
             if host_id.startswith(SEED_PREFIX):
                 self._peers.remove_peer(host_id)
@@ -186,19 +188,19 @@
     """Choose the hosts that one host links to. Pure.
 
     Args:
-        own: The host's own row.
-        rows: The other hosts.
-        whole_domain: Whether it links to all hosts of its failure domain.
+        own: The row of the host that opens the links.
+        rows: The rows of the other hosts.
+        whole_domain: Whether to link to all hosts of the same failure domain.
     """
     if len(rows) < MAX_LINKS:
         return list(rows)
     ordered = sorted(rows, key=lambda row: (row.host_id <= own.host_id, row.host_id))
-    near = [row for row in ordered if row.failure_domain == own.failure_domain]
-    far = {
+    local = [row for row in ordered if row.failure_domain == own.failure_domain]
+    remote = {
         row.failure_domain: row
         for row in sorted(rows, key=lambda row: rank_of(own.host_id, row.host_id))
         if row.failure_domain != own.failure_domain
     }
     if not whole_domain:
-        near = [*near[: RING_LINKS // 2], *near[-(RING_LINKS // 2) :]]
-    return [*near, *far.values()]
+        local = [*local[: RING_LINKS // 2], *local[-(RING_LINKS // 2) :]]
+    return [*local, *remote.values()]
--- a/passtally/shared_watch.py
+++ b/passtally/shared_watch.py
@@ -1,10 +1,11 @@
-"""Lets a few hosts of a failure domain watch the platform, and the rest learn.
+"""Shares the watches of a few hosts with all hosts of a failure domain.
 
-Each call to the platform is paid for, and each change wakes every watch. In a large
-failure domain a few hosts watch and pass changes on to all others there; each host
-lists once when it starts. :mod:`passtally.watcher_election` decides who watches.
+Each call to the platform is billed, and each change wakes up every watch. In a large
+failure domain only a few hosts watch the platform, and forward changes to all others in
+the domain; each host lists once when it starts. :mod:`passtally.watcher_election`
+chooses the watchers.
 
-A host whose own watch is down learns from the others
+A host whose own watch is down receives changes from other hosts
 (:mod:`passtally.view_learner`).
 """
 
@@ -36,15 +37,17 @@
 from passtally.view_learner import ViewLearner
 from passtally.watcher_election import WatcherElection
 
-#: How often watchers tell the versions that they know.
+#: Interval between the heartbeats in which watchers report their versions.
 HEARTBEAT_INTERVAL = timedelta(milliseconds=500)
-#: A watcher that was not heard for this long counts as gone. A change must be in
-#: force within two seconds, listing included.
+#: Time without a heartbeat after which a watcher counts as dead. Changes must be in
+#: force within two seconds, including the listing of a new watcher.
 WATCHER_TIMEOUT = timedelta(milliseconds=1300)
+#: Interval between checks of the election and of missing versions.
 CHECK_INTERVAL = timedelta(milliseconds=100)
-#: How often, and how many others, a host that hears no watcher asks whether they are
-#: there. One that is cut off from all others but reaches the store is behind for 2.6 s
-#: then; of three questions one is answered even where many messages are lost.
+#: Interval between the probes of a host that receives no watcher's heartbeats, and the
+#: number of hosts that it probes. A host that reaches the store, but no other host, is
+#: behind for 2.6 s with these values. Of three probes one is answered even at a high
+#: message loss.
 PROBE_INTERVAL = timedelta(seconds=1)
 PROBED_HOSTS = 3
 
@@ -53,14 +56,15 @@
     """Keeps views up to date, from the platform or from peers.
 
     Args:
-        host_id: This host's name.
-        views: The views; their followers are made by the next argument.
-        follow: Makes the follower of a view.
-        peers: The links.
-        roster: Who is there.
+        host_id: The local host's name.
+        views: The initial views; ``follow`` creates their followers.
+        follow: Creates the follower of a view.
+        peers: The links to other hosts.
+        roster: The reachable hosts.
         clock: The clock.
-        rng: Where the choice among hosts that know the same comes from.
-        reach_changed: Called when changes stop or begin to arrive.
+        rng: The random source for the choice of hosts to probe and to fetch from.
+        reach_changed: Called when changes begin or cease to arrive, with whether they
+            arrive.
     """
 
     def __init__(
@@ -82,7 +86,7 @@
         self._roster = roster
         self._clock = clock
         self._reach_changed = reach_changed
-        #: When each host was last heard to watch.
+        #: Monotonic time of each watcher's last heartbeat.
         self._watching_at_by_host: dict[str, timedelta] = {}
         self._learner = ViewLearner(
             host_id=host_id,
@@ -92,14 +96,15 @@
             clock=clock,
             rng=rng,
             is_up=lambda: self.is_up,
-            learned=self._tell,
+            on_applied=self._send_heartbeat,
         )
         self._tasks: set[asyncio.Task[None]] = set()
         self._election = WatcherElection(own_id=host_id, started_at=clock.monotonic())
         self._is_receiving = False
-        #: Whether no host of this domain answered when no watcher was heard. This host
-        #: is then to watch at once; gossip lets go of the others only after some 12 s.
-        self._is_cut_off = False
+        #: Whether no watcher's heartbeats arrive and no probed host of this domain
+        #: answered. This host then watches at once; gossip would declare the others
+        #: dead only after about 12 s.
+        self._is_isolated = False
         self._probed_at = -PROBE_INTERVAL
         self._follow = follow
         for view in views:
@@ -108,12 +113,12 @@
 
     @property
     def is_watching(self) -> bool:
-        """Whether this host is to watch."""
+        """Whether this host is elected as a watcher."""
         return self._election.is_watching
 
     @property
     def is_receiving(self) -> bool:
-        """Whether changes arrive, from the platform or from a host that watches."""
+        """Whether changes arrive, from the platform or from a watcher."""
         return self._is_receiving
 
     @property
@@ -123,16 +128,16 @@
         return all(view.follower.is_watching for view in views if view.is_vital)
 
     def replace(self, view: View, listing: Listing) -> None:
-        """Take in a whole listing from the platform."""
+        """Apply a complete listing from the platform, and forward its changes."""
         since = view.mirror.newest
         changed = view.mirror.replace(listing)
         if changed is not None:
-            self._take(view, changed, since=since)
+            self._apply_and_forward(view, changed, since=since)
 
     def advance(self, view: View, changes: Listing) -> None:
-        """Take in changes from the platform."""
+        """Apply changes from the platform, and forward them."""
         since = view.mirror.newest
-        self._take(view, view.mirror.advance(changes), since=since)
+        self._apply_and_forward(view, view.mirror.advance(changes), since=since)
 
     @property
     def views(self) -> Collection[View]:
@@ -140,67 +145,67 @@
         return self._views_by_prefix.values()
 
     def rename(self, host_id: str) -> None:
-        """Take in that this host has another name."""
+        """Change the name of the local host."""
         self._host_id = self._election.own_id = host_id
         self._learner.rename(host_id)
 
     def add(self, view: View) -> None:
-        """Keep one more view up to date."""
+        """Add a view to keep up to date."""
         view.follower = self._follow(self, view)
         self._views_by_prefix[view.prefix] = view
         if self._election.is_watching:
             self._watch(view)
 
     def remove(self, prefix: str) -> None:
-        """Keep a view up to date no more."""
+        """Stop keeping a view up to date."""
         view = self._views_by_prefix.pop(prefix)
         if view.task is not None:
             view.task.cancel()
 
     def relist(self) -> None:
-        """Begin anew at the store, whose address has changed.
+        """Restart all watches and listings after the store's address has changed.
 
-        What waits at the old address would keep this host from the new one, for ever
-        where nobody answers there.
+        Pending calls to the former address are cancelled. They would delay the switch,
+        without end if no server answers there.
         """
         for view in self._views_by_prefix.values():
-            view.mirror.renew()
+            view.mirror.expect_new_store()
             view.follower.is_watching = False
             if view.task is not None:
                 view.task.cancel()
             if self._election.is_watching:
                 self._watch(view, after=0)
             elif view.is_vital:
-                view.task = self._keep_running(view, view.follower.learn)
+                view.task = self._keep_running(view, view.follower.list_once)
 
     async def run(self) -> None:
-        """List once, then watch or stand down as others do, for ever."""
+        """List once, then watch whenever this host is elected, until cancelled."""
         for view in self._views_by_prefix.values():
             if view.is_vital:
-                view.task = self._keep_running(view, view.follower.learn)
-        beat_at = timedelta(0)
+                view.task = self._keep_running(view, view.follower.list_once)
+        heartbeat_at = timedelta(0)
         was_up = False
         while True:
             now = self._clock.monotonic()
             if was_up and not self.is_up:
-                # Others need not find that out by this host's silence, which takes 1.3
-                # s: where the store refuses all that watch, a domain is behind for 0.8
-                # s and not 1.8 s.
-                await self._tell()
+                # Report the loss of the watch at once, instead of letting the others
+                # detect it by the timeout of 1.3 s. If the store rejects all watchers,
+                # the domain is then behind for 0.8 s instead of 1.8 s.
+                await self._send_heartbeat()
             was_up = self.is_up
-            self._look_for_others(now)
-            self._decide(now)
-            # Only who hears changes has something to tell to its whole domain.
+            self._check_isolation(now)
+            self._update_role(now)
+            # Only a host that receives changes has to send to all of its domain.
             self._roster.links_domain = self._election.is_watching and self.is_up
             self._record_reachability(now)
-            if self.is_up and now - beat_at >= HEARTBEAT_INTERVAL:
-                beat_at = now
-                await self._tell()
+            if self.is_up and now - heartbeat_at >= HEARTBEAT_INTERVAL:
+                heartbeat_at = now
+                await self._send_heartbeat()
             self._learner.catch_up(now)
             await self._clock.sleep(CHECK_INTERVAL)
 
     async def stop(self) -> None:
-        """End all watches and fetches."""
+        """Cancel all watches and fetches."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -212,106 +217,109 @@
         return self._learner.is_behind(prefix)
 
     def behind_for(self, prefix: str) -> timedelta:
-        """Return for how long another host has been known to have a newer version."""
+        """Return the time since another host is known to have a newer version."""
         return self._learner.behind_for(prefix)
 
-    def _look_for_others(self, now: timedelta) -> None:
-        """Where no watcher is heard, find out whether any host of the domain is."""
-        if self.is_up or self._watching(now):
-            self._is_cut_off = False
+    def _check_isolation(self, now: timedelta) -> None:
+        """Probe hosts of the domain while no watcher's heartbeats arrive."""
+        if self.is_up or self._watching_ids(now):
+            self._is_isolated = False
         elif now - self._probed_at >= PROBE_INTERVAL:
             self._probed_at = now
             self._spawn(self._probe())
 
     async def _probe(self) -> None:
-        near = self._neighbours()
-        asked = self._rng.sample(near, min(PROBED_HOSTS, len(near)))
-        answers = await asyncio.gather(*map(self._is_there, asked))
-        self._is_cut_off = bool(asked) and not any(answers)
+        candidate_ids = self._neighbour_ids()
+        probed = self._rng.sample(candidate_ids, min(PROBED_HOSTS, len(candidate_ids)))
+        answers = await asyncio.gather(*map(self._is_there, probed))
+        self._is_isolated = bool(probed) and not any(answers)
 
     async def _is_there(self, host_id: str) -> bool:
-        """Return whether a host answers a question of which nothing is to be told."""
+        """Return whether a host answers a request that returns no objects."""
         try:
             await self._peers.ask(host_id, FetchConfig(after=0, prefix=""))
         except PeerError:
             return False
         return True
 
-    def _decide(self, now: timedelta) -> None:
+    def _update_role(self, now: timedelta) -> None:
         domain_ids = {self._host_id}
-        if not self._is_cut_off:
+        if not self._is_isolated:
             domain_ids.update(self._roster.domain_ids())
-        watching_ids = domain_ids.intersection(self._watching(now))
+        watching_ids = domain_ids.intersection(self._watching_ids(now))
         self._roster.source_ids = watching_ids
         was_watching = self._election.is_watching
-        wants = self._election.decide(domain_ids, watching_ids, now=now)
-        if wants and not was_watching:
-            self._start(len(domain_ids), len(watching_ids))
-        elif was_watching and not wants:
-            self._stop()
-
-    def _start(self, hosts: int, watching: int) -> None:
-        log_event("watch", "Watching.", hosts=hosts, others_watching=watching)
+        should_watch = self._election.decide(domain_ids, watching_ids, now=now)
+        if should_watch and not was_watching:
+            self._start_watching(len(domain_ids), len(watching_ids))
+        elif was_watching and not should_watch:
+            self._stop_watching()
+
+    def _start_watching(self, hosts: int, watching: int) -> None:
+        log_event("watch", "Started watching.", hosts=hosts, others_watching=watching)
         for view in self._views_by_prefix.values():
             if view.task is not None:
                 view.task.cancel()
-            # Versions of another store say nothing of what is new at this one.
+            # Versions of a former store do not apply to the present one: list again.
             mirror = view.mirror
-            self._watch(view, after=0 if mirror.is_renewed else mirror.version)
+            self._watch(view, after=0 if mirror.expects_new_store else mirror.version)
 
     def _watch(self, view: View, *, after: int = 0) -> None:
         run = partial(view.follower.run, after=after)
         view.task = self._keep_running(view, run)
 
-    def _stop(self) -> None:
-        log_event("watch", "Standing down, others watch.")
+    def _stop_watching(self) -> None:
+        log_event("watch", "Stopped watching, others watch.")
         for view in self._views_by_prefix.values():
             view.task.cancel()
             view.follower.is_watching = False
 
-    def _take(self, view: View, changed: Sequence[StoredObject], *, since: int) -> None:
-        """Put changes from the platform in force, and pass them on."""
+    def _apply_and_forward(
+        self, view: View, changed: Sequence[StoredObject], *, since: int
+    ) -> None:
+        """Apply changes from the platform, and forward them to the domain."""
         if not changed:
             return
         view.apply(changed)
-        watching = self._watching(self._clock.monotonic())
-        learners = [name for name in self._neighbours() if name not in watching]
+        watching = self._watching_ids(self._clock.monotonic())
+        recipients = [name for name in self._neighbour_ids() if name not in watching]
         small, large = split_large(changed)
         listing = pack_listing(view.mirror.version, small)
         if len(listing) > PART_BYTES:
-            # Too much for all of them at once: they ask, and are answered in turn.
-            self._spawn(self._tell())
-        elif learners:
-            news = ViewChanges(
+            # Too large to send to all at once. The heartbeat makes the other hosts
+            # request the changes, and AnswerPace answers them one after the other.
+            self._spawn(self._send_heartbeat())
+        elif recipients:
+            message = ViewChanges(
                 prefix=view.prefix,
                 since=since,
                 listing=listing,
                 host_id=self._host_id,
                 large=large,
             )
-            self._spawn(self._peers.send_message(learners, news))
+            self._spawn(self._peers.send_message(recipients, message))
 
-    def _receive_heartbeat(self, beat: ViewBeat) -> None:
-        self._learner.record_versions(beat.host_id, beat.versions_by_prefix)
-        if beat.is_watching:
-            self._watching_at_by_host[beat.host_id] = self._clock.monotonic()
+    def _receive_heartbeat(self, heartbeat: ViewBeat) -> None:
+        self._learner.record_versions(heartbeat.host_id, heartbeat.versions_by_prefix)
+        if heartbeat.is_watching:
+            self._watching_at_by_host[heartbeat.host_id] = self._clock.monotonic()
         else:
-            self._watching_at_by_host.pop(beat.host_id, None)
+            self._watching_at_by_host.pop(heartbeat.host_id, None)
 
     def _record_reachability(self, now: timedelta) -> None:
-        is_receiving = self.is_up or bool(self._watching(now))
+        is_receiving = self.is_up or bool(self._watching_ids(now))
         if is_receiving != self._is_receiving:
             self._is_receiving = is_receiving
             self._reach_changed(is_receiving)
 
-    async def _tell(self) -> None:
-        """Tell the linked hosts of this domain what this host knows."""
-        beat = ViewBeat(
+    async def _send_heartbeat(self) -> None:
+        """Report the versions of this host to the linked hosts of its domain."""
+        heartbeat = ViewBeat(
             host_id=self._host_id,
             versions_by_prefix=self.newest(),
             is_watching=self.is_up,
         )
-        await self._peers.send_message(self._neighbours(), beat)
+        await self._peers.send_message(self._neighbour_ids(), heartbeat)
 
     def newest(self) -> dict[str, int]:
         """Return the newest version of an object known under each prefix."""
@@ -319,14 +327,14 @@
             prefix: view.mirror.newest for prefix, view in self._views_by_prefix.items()
         }
 
-    def _watching(self, now: timedelta) -> list[str]:
+    def _watching_ids(self, now: timedelta) -> list[str]:
         return [
             host_id
             for host_id, last_contact_at in self._watching_at_by_host.items()
             if now - last_contact_at < WATCHER_TIMEOUT
         ]
 
-    def _neighbours(self) -> list[str]:
+    def _neighbour_ids(self) -> list[str]:
         return [row.host_id for row in self._roster.neighbours()]
 
     def _keep_running(self, view: View, work: Work) -> asyncio.Task[None]:
--- a/passtally/view.py
+++ b/passtally/view.py
@@ -1,4 +1,4 @@
-"""What a host knows of the objects under one prefix."""
+"""The local copy of the platform's objects under one prefix."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -13,18 +13,20 @@
 
 @attrs.define(kw_only=True)
 class View:
-    """What this host knows of the objects under one prefix.
+    """The objects under one prefix, and how they are kept up to date.
 
     Attributes:
-        prefix: The prefix.
-        apply: Called with the objects that changed.
-        mirror: The objects.
-        follower: Follows them at the platform while this host watches.
-        task: The follower's run while this host watches, its first listing before.
-        behind_since: Since when a newer version is known elsewhere.
-        is_vital: Whether each host lists it when it starts, and counts as watching only
-            while this watch is up. What changes a few times a day need not be asked for
-            by each host: it learns of that from those that watch.
+        prefix: The key prefix.
+        apply: Called with the changed objects.
+        mirror: The known state of the objects.
+        follower: Watches the objects at the platform while this host is a watcher.
+        task: The follower's watch loop while this host is a watcher, or its first
+            listing before that.
+        behind_since: Monotonic time since which another host is known to have a newer
+            version; None if this host is up to date.
+        is_vital: Whether each host lists the prefix when it starts, and counts as
+            watching only while this watch is up. Prefixes that change a few times a day
+            are not vital: a host gets their changes from the watchers.
     """
 
     prefix: str
--- a/passtally/view_learner.py
+++ b/passtally/view_learner.py
@@ -1,8 +1,8 @@
-"""Learns from other hosts what changed while this host does not watch the platform.
+"""Receives changes from other hosts while this host does not watch the platform.
 
-Hosts of its own failure domain are asked first, those of another domain only after the
-hosts of its own that are to ask there. Large objects come in parts, from any host that
-has them (:mod:`passtally.object_transfer`).
+Changes are fetched from hosts of the local failure domain first. Hosts of other domains
+are queried after a delay, so that only a few local hosts fetch from them. Large objects
+are fetched in parts, from any host that has them (:mod:`passtally.object_transfer`).
 """
 
 import asyncio
@@ -37,30 +37,31 @@
 from passtally.silent_hosts import SilentHosts
 from passtally.view import View
 
-#: How long an answer that holds no large object may take. A link of 5 Mbit/s that is
-#: full delays it by 180 ms.
+#: Timeout of a request for changes; its answer holds no large object. A saturated link
+#: of 5 Mbit/s delays the answer by 180 ms.
 FETCH_TIMEOUT = timedelta(milliseconds=400)
-#: How much longer each host of a failure domain waits than the one before it until it
-#: learns from another domain: one copy crosses the border, and the others take theirs
-#: from it. A configuration of 2,000 routes crosses in 40 ms.
-FAR_STEP = timedelta(milliseconds=100)
-#: The hosts behind this many wait no longer.
-FAR_HOSTS = 8
+#: Difference between the delays of consecutive hosts of a failure domain before they
+#: fetch from another domain. One copy is sent between the domains, and the other hosts
+#: fetch theirs from the host that has it. A configuration of 2,000 routes takes 40 ms.
+REMOTE_DELAY_STEP = timedelta(milliseconds=100)
+#: Number of preceding hosts beyond which the delay no longer grows.
+MAX_DELAYED_HOSTS = 8
 
 
 class ViewLearner:
-    """Takes in what other hosts know, and answers what they ask.
+    """Applies changes from other hosts to the views, and answers their requests.
 
     Args:
-        host_id: This host's name.
+        host_id: The local host's name.
         views_by_prefix: The views.
-        peers: The links.
-        roster: Who is there.
+        peers: The links to other hosts.
+        roster: The reachable hosts.
         clock: The clock.
-        rng: Where the choice among hosts that know the same comes from.
-        is_up: Returns whether this host's own watches are up: it learns from nobody
-            then.
-        learned: Called once this host has learned something that it can hand on.
+        rng: The random source for the choice among hosts with the same version.
+        is_up: Returns whether this host's own watches are up. If so, it does not fetch
+            from other hosts.
+        on_applied: Called after changes were fetched and applied that this host can
+            pass on.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         clock: Clock,
         rng: random.Random,
         is_up: Callable[[], bool],
-        learned: Callable[[], Awaitable[object]],
+        on_applied: Callable[[], Awaitable[object]],
     ) -> None:
         self._host_id = host_id
         self._views_by_prefix = views_by_prefix
@@ -82,14 +83,14 @@
         self._clock = clock
         self._rng = rng
         self._is_up = is_up
-        self._learned = learned
-        #: What hosts of this domain were last heard to know, watching or not.
+        self._on_applied = on_applied
+        #: Last reported versions of the hosts of this domain, watchers or not.
         self._versions_by_host: dict[str, Mapping[str, int]] = {}
         self._silent = SilentHosts()
-        #: Prefixes of which a host is being asked for changes.
-        self._asking: set[str] = set()
-        #: Prefixes of which large objects are on their way. News of another host is
-        #: taken in beside a question, not beside these.
+        #: Prefixes with a request for changes in flight.
+        self._querying: set[str] = set()
+        #: Prefixes with a transfer of large objects in progress. Changes with large
+        #: objects that arrive meanwhile are not applied; during a request they are.
         self._fetching: set[str] = set()
         self._transfer = ObjectTransfer(
             host_id=host_id,
@@ -105,35 +106,39 @@
         peers.listen(ViewChanges, self.receive_changes)
 
     def rename(self, host_id: str) -> None:
-        """Take in that this host has another name."""
+        """Change the name of the local host."""
         self._host_id = host_id
         self._transfer.host_id = host_id
 
     async def stop(self) -> None:
-        """End all fetches."""
+        """Cancel all fetches."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def receive_changes(self, news: ViewChanges) -> None:
-        """Take in what a host that watches tells."""
-        view = self._views_by_prefix.get(news.prefix)
+    def receive_changes(self, message: ViewChanges) -> None:
+        """Apply changes from a watcher, unless earlier changes are missing."""
+        view = self._views_by_prefix.get(message.prefix)
         if view is None:
             return
-        if news.large:
-            newest = max(ref.version for ref in news.large)
-            self.record_versions(news.host_id, {news.prefix: newest})
-        # With a gap before them the changes are asked for.
-        if news.since > view.mirror.newest:
+        if message.large:
+            newest = max(ref.version for ref in message.large)
+            self.record_versions(message.host_id, {message.prefix: newest})
+        # Earlier changes are missing; catch_up() requests them all.
+        if message.since > view.mirror.newest:
             return
-        if not news.large:
-            self._learn(view, unpack_listing(news.listing))
+        if not message.large:
+            self._apply_changes(view, unpack_listing(message.listing))
         elif not self._is_up() and view.prefix not in self._fetching:
-            self._spawn(self._take_in(view, news.host_id, news.listing, news.large))
+            self._spawn(
+                self._apply_received(
+                    view, message.host_id, message.listing, message.large
+                )
+            )
 
     def record_versions(self, host_id: str, versions: Mapping[str, int]) -> None:
-        """Take in what a host says that it knows."""
+        """Record the versions that a host reports."""
         known = self._versions_by_host.get(host_id, {})
         self._versions_by_host[host_id] = {**known, **versions}
 
@@ -141,39 +146,42 @@
         """Return whether another host is known to have a newer version."""
         view = self._views_by_prefix[prefix]
         newest = view.mirror.newest
-        return bool(self._newer_near(prefix, newest) or self._newer_far(prefix, newest))
+        return bool(
+            self._newer_local_ids(prefix, newest)
+            or self._newer_remote_rows(prefix, newest)
+        )
 
     def behind_for(self, prefix: str) -> timedelta:
-        """Return for how long another host has been known to have a newer version."""
+        """Return the time since another host is known to have a newer version."""
         since = self._views_by_prefix[prefix].behind_since
         return timedelta(0) if since is None else self._clock.monotonic() - since
 
     def catch_up(self, now: timedelta) -> None:
-        """Fetch what others know and this host, whose own watch is down, does not."""
+        """Fetch newer versions from other hosts while this host's watches are down."""
         for view in self._views_by_prefix.values():
             is_behind = not self._is_up() and self.is_behind(view.prefix)
             view.behind_since = (view.behind_since or now) if is_behind else None
-            if not is_behind or view.prefix in self._asking | self._fetching:
+            if not is_behind or view.prefix in self._querying | self._fetching:
                 continue
             host_id = self._choose_source(view, now)
             if host_id is not None:
                 self._spawn(self._fetch(view, host_id))
 
     def _choose_source(self, view: View, now: timedelta) -> str | None:
-        """Return a host to learn from: of this domain, or later of another one."""
+        """Return a host to fetch from; hosts of other domains only after a delay."""
         newest = view.mirror.newest
-        near = self._newer_near(view.prefix, newest)
-        far = self._newer_far(view.prefix, newest)
-        if now - view.behind_since < self._far_wait():
-            far = []
-        far.sort(key=lambda row: row.versions_by_prefix[view.prefix], reverse=True)
-        self._rng.shuffle(near)
-        candidates = [*near, *(row.host_id for row in far)]
-        # One that was silent is asked where there is no other.
+        local = self._newer_local_ids(view.prefix, newest)
+        remote = self._newer_remote_rows(view.prefix, newest)
+        if now - view.behind_since < self._remote_delay():
+            remote = []
+        remote.sort(key=lambda row: row.versions_by_prefix[view.prefix], reverse=True)
+        self._rng.shuffle(local)
+        candidates = [*local, *(row.host_id for row in remote)]
+        # Hosts that did not answer recently are the last choice.
         candidates.sort(key=lambda name: self._silent.is_silent(name, now))
         return candidates[0] if candidates else None
 
-    def _newer_near(self, prefix: str, newest: int) -> list[str]:
+    def _newer_local_ids(self, prefix: str, newest: int) -> list[str]:
         """Return the linked hosts of this domain that know a newer version."""
         return [
             row.host_id
@@ -185,8 +193,8 @@
             > newest
         ]
 
-    def _newer_far(self, prefix: str, newest: int) -> list[MemberRow]:
-        """Return the rows of linked far hosts that know a newer version."""
+    def _newer_remote_rows(self, prefix: str, newest: int) -> list[MemberRow]:
+        """Return the rows of linked hosts of other domains with a newer version."""
         own = self._roster.failure_domain
         return [
             row
@@ -195,13 +203,15 @@
             and row.versions_by_prefix.get(prefix, 0) > newest
         ]
 
-    def _far_wait(self) -> timedelta:
-        """Return how long the hosts before this one are let go first."""
-        before = [name for name in self._roster.domain_ids() if name < self._host_id]
-        return min(len(before), FAR_HOSTS) * FAR_STEP
+    def _remote_delay(self) -> timedelta:
+        """Return the delay before this host fetches from another domain."""
+        preceding_ids = [
+            name for name in self._roster.domain_ids() if name < self._host_id
+        ]
+        return min(len(preceding_ids), MAX_DELAYED_HOSTS) * REMOTE_DELAY_STEP
 
     async def _fetch(self, view: View, host_id: str) -> None:
-        self._asking.add(view.prefix)
+        self._querying.add(view.prefix)
         message = FetchConfig(after=view.mirror.newest, prefix=view.prefix)
         try:
             reply = await self._peers.ask(host_id, message, timeout=FETCH_TIMEOUT)
@@ -212,14 +222,14 @@
                 self._silent.note(host_id, self._clock.monotonic())
             return
         finally:
-            self._asking.discard(view.prefix)
+            self._querying.discard(view.prefix)
         if isinstance(reply, ConfigChanges) and view.prefix not in self._fetching:
-            await self._take_in(view, host_id, reply.listing, reply.large)
+            await self._apply_received(view, host_id, reply.listing, reply.large)
 
-    async def _take_in(
+    async def _apply_received(
         self, view: View, host_id: str, packed: bytes, large: Sequence[ObjectRef]
     ) -> None:
-        """Put in force what a peer told, once its large objects have come."""
+        """Apply changes from a peer, after fetching their large objects."""
         self._fetching.add(view.prefix)
         try:
             listing = unpack_listing(packed)
@@ -236,7 +246,7 @@
         finally:
             self._fetching.discard(view.prefix)
         objects = (*listing.objects, *fetched)
-        changed = self._learn(view, attrs.evolve(listing, objects=objects))
+        changed = self._apply_changes(view, attrs.evolve(listing, objects=objects))
         log_event(
             "watch",
             "Learned from a peer.",
@@ -246,23 +256,23 @@
             changed=len(changed),
         )
         if changed:
-            await self._learned()
+            await self._on_applied()
 
-    def _learn(self, view: View, changes: Listing) -> list[StoredObject]:
-        """Put changes that a peer told in force, and return what was new."""
+    def _apply_changes(self, view: View, changes: Listing) -> list[StoredObject]:
+        """Apply changes from a peer, and return the objects that changed."""
         changed = view.mirror.advance(changes)
         view.apply(changed)
         return changed
 
     def _holders(self, prefix: str, ref: ObjectRef, first_id: str) -> set[str]:
-        """Return the hosts that are likely to hold a state of an object.
+        """Return the hosts that probably have a state of an object.
 
         Args:
-            prefix: What its key starts with.
-            ref: The state.
-            first_id: The host that told of it.
+            prefix: The prefix of the object's view.
+            ref: The state of the object.
+            first_id: The host that announced it.
         """
-        return {first_id, *self._newer_near(prefix, ref.version - 1)}
+        return {first_id, *self._newer_local_ids(prefix, ref.version - 1)}
 
     async def _answer(self, message: FetchConfig) -> ConfigChanges:
         view = self._views_by_prefix.get(message.prefix)
--- a/passtally/watcher_election.py
+++ b/passtally/watcher_election.py
@@ -1,9 +1,10 @@
-"""Which hosts of a failure domain watch the platform. Pure; nothing is agreed.
+"""Election of the hosts of a failure domain that watch the platform. Pure.
 
-Who watches follows from who is heard watching. Where too few do, each host waits the
-longer the more hosts stand before it in the order of their names, so that one loss
-does not wake the whole domain. Where too many do, the last ones stop. One watcher too
-many costs a little; a host that hears no watcher soon watches itself.
+There is no consensus. Each host decides by the watchers whose heartbeats it receives.
+If there are too few watchers, each host starts after a delay that grows with the number
+of hosts before it in the order of names, so that the loss of one watcher does not start
+watches on all hosts. If there are too many, the last ones in that order stop. A surplus
+watcher costs little, and a host without heartbeats of any watcher soon watches itself.
 """
 
 from collections.abc import Collection
@@ -11,27 +12,30 @@
 
 import attrs
 
-#: Hosts of a large failure domain that watch. Two, so that one's end is no gap.
+#: Number of watchers in a large failure domain. With two of them, the crash of one does
+#: not interrupt the changes.
 WATCHERS = 2
-#: In a domain of at most so many hosts all watch: little is to be saved.
+#: Number of hosts of a domain up to which all of them watch, since fewer watchers would
+#: save little.
 SMALL_DOMAIN = 4
-#: How long a host that has just started first listens for others that watch. By
-#: then it has asked its seeds twice; what it listed is younger than that.
-JOIN_WAIT = timedelta(seconds=1.2)
-#: How much longer each host waits than the one before it while one watcher is heard:
-#: changes still arrive, and a beat takes half a second to be heard.
-STEP = timedelta(milliseconds=300)
-#: The same where no watcher is heard: a change must be in force two or three seconds
-#: after the platform took it. Where the platform turns a third of the hosts away, one
-#: of so many almost surely reaches it.
-URGENT_STEP = timedelta(milliseconds=50)
+#: Time in which a started host only listens for watchers. It probes its seeds twice in
+#: this time, and its initial listing is no older than that at the end.
+JOIN_DELAY = timedelta(seconds=1.2)
+#: Difference between the start delays of consecutive hosts while there is one watcher.
+#: Changes still arrive then, and a heartbeat may take half a second.
+START_STEP = timedelta(milliseconds=300)
+#: The same difference for the first hosts while there is no watcher, and the number of
+#: these hosts. A change must be in force two to three seconds after the platform stored
+#: it. If the platform rejects a third of the hosts, one of six is almost certain to
+#: reach it.
+URGENT_START_STEP = timedelta(milliseconds=50)
 URGENT_HOSTS = 6
-#: The step of the hosts behind those: where none of the first ones reaches the
-#: platform it is most likely away, and a further host that watches makes some four
-#: calls a second. In an outage of 8 s, 8 hosts of a domain of 42 try, and not 14.
-LATE_STEP = timedelta(seconds=4)
-#: How long enough others must be heard before a watch is given up.
-STAND_DOWN_AFTER = timedelta(seconds=3)
+#: The same difference for the hosts after those. If none of the first hosts reaches the
+#: platform, it is most likely down, and each further watcher makes about four calls a
+#: second. With this step, 8 hosts of a domain of 42 try in an outage of 8 s, not 14.
+LATE_START_STEP = timedelta(seconds=4)
+#: Time for which there must be enough other watchers before a host stops watching.
+STOP_DELAY = timedelta(seconds=3)
 
 
 def should_watch(
@@ -43,19 +47,19 @@
     watchers: int = WATCHERS,
     small_domain: int = SMALL_DOMAIN,
 ) -> bool:
-    """Decide whether a host is to watch the platform.
+    """Decide whether a host should watch the platform.
 
-    One that does not begins only where too few do, whoever they are; one that does
-    stops only where enough before it do. So the first ones never stop, and nobody
-    begins to take over from one that watches well.
+    A host starts only if there are too few watchers, whatever their names. A watcher
+    stops only if there are enough watchers before it in the order of names. So the
+    first watchers never stop, and no host replaces a working watcher.
 
     Args:
-        own_id: The host.
-        domain_ids: The hosts of its failure domain in reach, itself included.
-        watching_ids: Those of its domain that were heard watching a moment ago.
-        is_watching: Whether it watches now.
-        watchers: How many are enough.
-        small_domain: Up to how many hosts all watch.
+        own_id: The host's name.
+        domain_ids: The reachable hosts of its failure domain, itself included.
+        watching_ids: The hosts of its domain with a recent watcher's heartbeat.
+        is_watching: Whether the host watches now.
+        watchers: The sufficient number of watchers.
+        small_domain: The number of hosts up to which all watch.
     """
     if len(domain_ids) <= small_domain:
         return True
@@ -65,15 +69,15 @@
     return len(before) < watchers
 
 
-def waiting_time(
+def start_delay(
     own_id: str, domain_ids: Collection[str], watching_ids: Collection[str]
 ) -> timedelta:
-    """Return how long a host that is to watch lets the ones before it go first.
+    """Return the delay before a host starts to watch, so that hosts before it can.
 
     Args:
-        own_id: The host.
-        domain_ids: The hosts of its failure domain in reach, itself included.
-        watching_ids: Those of its domain that were heard watching a moment ago.
+        own_id: The host's name.
+        domain_ids: The reachable hosts of its failure domain, itself included.
+        watching_ids: The hosts of its domain with a recent watcher's heartbeat.
     """
     if len(domain_ids) <= SMALL_DOMAIN:
         return timedelta(0)
@@ -83,26 +87,26 @@
         if host_id < own_id and host_id not in watching_ids
     ]
     if watching_ids:
-        return len(idle) * STEP
+        return len(idle) * START_STEP
     urgent = min(len(idle), URGENT_HOSTS - 1)
-    return urgent * URGENT_STEP + (len(idle) - urgent) * LATE_STEP
+    return urgent * URGENT_START_STEP + (len(idle) - urgent) * LATE_START_STEP
 
 
 @attrs.define(kw_only=True)
 class WatcherElection:
-    """Whether one host watches, from moment to moment.
+    """The election state of one host.
 
     Attributes:
-        own_id: The host.
-        started_at: When it started, on the monotonic clock.
-        is_watching: Whether it watches now.
+        own_id: The host's name.
+        started_at: Monotonic time of the host's start.
+        is_watching: Whether the host is elected as a watcher now.
     """
 
     own_id: str
     started_at: timedelta
     is_watching: bool = False
-    _wanted_since: timedelta | None = None
-    _heard_any: bool = False
+    _needed_since: timedelta | None = None
+    _had_watchers: bool = False
     _enough_since: timedelta | None = None
 
     def decide(
@@ -112,31 +116,31 @@
         *,
         now: timedelta,
     ) -> bool:
-        """Take in who is there and who watches, and return whether to watch.
+        """Update the election by the current watchers, and return whether to watch.
 
         Args:
-            domain_ids: The hosts of its failure domain in reach, itself included.
-            watching_ids: Those of its domain that were heard watching a moment ago.
+            domain_ids: The reachable hosts of its failure domain, itself included.
+            watching_ids: The hosts of its domain with a recent watcher's heartbeat.
             now: The monotonic time.
         """
-        # A wait that began while no watcher was heard has other steps. Once one is
-        # heard again it begins anew: after an outage of 5.5 s the waits of most hosts
-        # of a domain were over, and 17 of 19 asked for all changes at once.
-        if watching_ids and not self._heard_any:
-            self._wanted_since = None
-        self._heard_any = bool(watching_ids)
+        # The start delay is shorter without any watcher, so it restarts once there is
+        # one again. Otherwise it has expired on most hosts after an outage of 5.5 s: 17
+        # of 19 hosts requested all changes at once.
+        if watching_ids and not self._had_watchers:
+            self._needed_since = None
+        self._had_watchers = bool(watching_ids)
         if should_watch(
             self.own_id, domain_ids, watching_ids, is_watching=self.is_watching
         ):
             self._enough_since = None
-            joined_at = self.started_at + JOIN_WAIT
-            self._wanted_since = self._wanted_since or max(now, joined_at)
-            wait = waiting_time(self.own_id, domain_ids, watching_ids)
-            if now - self._wanted_since >= wait:
+            joined_at = self.started_at + JOIN_DELAY
+            self._needed_since = self._needed_since or max(now, joined_at)
+            delay = start_delay(self.own_id, domain_ids, watching_ids)
+            if now - self._needed_since >= delay:
                 self.is_watching = True
             return self.is_watching
-        self._wanted_since = None
+        self._needed_since = None
         self._enough_since = self._enough_since or now
-        if now - self._enough_since >= STAND_DOWN_AFTER:
+        if now - self._enough_since >= STOP_DELAY:
             self.is_watching = False
         return self.is_watching
--- a/tests/gossip_fleet.py
+++ b/tests/gossip_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of hosts that gossip in virtual time, over links that lose and are cut."""
+"""Simulated gossip in virtual time, with message loss, partitions and paused hosts."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class Links:
-    """One host's links in a simulated fleet."""
+    """One host's links, in place of :class:`passtally.peers.Peers`."""
 
     def __init__(self, *, fleet: "Fleet", host_id: str) -> None:
         self.ids_by_address: dict[str, str] = {}
@@ -29,8 +29,8 @@
     def ids(self) -> list[str]:
         return list(self.ids_by_address.values())
 
-    def on(self, kind: type, answerer) -> None:
-        self.answer = answerer
+    def on(self, kind: type, handler) -> None:
+        self.answer = handler
 
     def add_peer(self, peer: PeerAddress) -> None:
         self.ids_by_address[str(peer.address)] = peer.host_id
@@ -51,7 +51,14 @@
 
 
 class Fleet:
-    """Hosts that gossip in virtual time, over links that lose and are cut."""
+    """Hosts that gossip over simulated links.
+
+    Attributes:
+        loss: The share of messages that get lost.
+        sides: The side of a network partition on which each host is, 0 if not named.
+        down: The names of the stopped hosts.
+        paused: The names of hosts that do not receive messages for now.
+    """
 
     DELAY = 0.001
     TIMEOUT = 0.5
@@ -85,7 +92,7 @@
             self.nodes_by_address[item.address] = Node(fleet=self, own=own)
 
     def know_all(self) -> None:
-        """Let all hosts know each other, as after a long calm time."""
+        """Fill all tables, with no pending updates, as in a fleet without changes."""
         for node in self.nodes:
             node.table.merge(self.rows, self.clock.monotonic())
             while node.table.has_updates:
@@ -105,7 +112,7 @@
         addresses_by_id = {name: at for at, name in links.ids_by_address.items()}
         address = addresses_by_id.get(host_id)
         if address is None:
-            raise PeerError("there is no such peer", step="Hello", peer=host_id)
+            raise PeerError("there is no link to this peer", step="Hello", peer=host_id)
         node = self.nodes_by_address.get(address)
         size = len(msgspec.msgpack.encode(message))
         links.bytes_sent += size
@@ -122,20 +129,20 @@
         return reply
 
     def _passes(self, sender: str, receiver: str) -> bool:
-        is_cut = self.sides.get(sender, 0) != self.sides.get(receiver, 0)
+        is_partitioned = self.sides.get(sender, 0) != self.sides.get(receiver, 0)
         is_lost = self.rng.random() < self.loss
-        return not is_cut and not is_lost and receiver not in self.paused
+        return not is_partitioned and not is_lost and receiver not in self.paused
 
     async def wait_until(self, holds, *, limit: float) -> float:
-        """Return how long it took until something held."""
-        began = asyncio.get_running_loop().time()
+        """Wait for a condition, and return the virtual seconds until it held."""
+        started_at = asyncio.get_running_loop().time()
         async with asyncio.timeout(limit):
             while not holds():
                 await asyncio.sleep(0.5)
-        return asyncio.get_running_loop().time() - began
+        return asyncio.get_running_loop().time() - started_at
 
     def count_wrong(self) -> int:
-        """Return how many hosts are wrongly taken as gone, counted by each other."""
+        """Return the number of false ``DEAD`` rows of running hosts in all tables."""
         living = {node.id for node in self.nodes}
         return sum(
             item.host_id in living for node in self.nodes for item in node.table.dead()
@@ -146,7 +153,7 @@
 
 
 class Node:
-    """One host of a simulated fleet."""
+    """A host that runs the gossip and the roster of a simulated fleet."""
 
     def __init__(self, *, fleet: Fleet, own: MemberRow) -> None:
         self.id = own.host_id
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Following the platform's objects through outages, in virtual time."""
+"""A follower of the platform's objects during outages, in virtual time."""
 
 import asyncio
 import random
@@ -9,12 +9,12 @@
 from tests.fakes import FakePlatform
 
 
-class Followed:
-    """A follower of a fake platform, and what it brought."""
+class RecordedFollower:
+    """A follower of a fake platform, with a record of its callbacks."""
 
     def __init__(self, *, out_of_date_after: timedelta | None = None) -> None:
         self.platform = FakePlatform()
-        self.reach: list[bool] = []
+        self.reachability: list[bool] = []
         self.versions_by_key: dict[str, int] = {}
         self.listings = 0
         self.follower = Follower(
@@ -28,7 +28,7 @@
             wait=timedelta(seconds=1),
             max_retry_delay=timedelta(milliseconds=400),
             out_of_date_after=out_of_date_after,
-            reach_changed=self.reach.append,
+            reach_changed=self.reachability.append,
         )
 
     def _replace(self, listing) -> None:
@@ -47,79 +47,79 @@
 class TestFollower:
     def test_changes_arrive_while_the_watch_is_up(self):
         async def test() -> None:
-            followed = Followed()
-            await followed.platform.create("config/a", b"1")
-            await followed.start()
-            assert followed.versions_by_key == {"config/a": 1}
-            await followed.platform.update("config/a", b"2", version=1)
+            recorded = RecordedFollower()
+            await recorded.platform.create("config/a", b"1")
+            await recorded.start()
+            assert recorded.versions_by_key == {"config/a": 1}
+            await recorded.platform.update("config/a", b"2", version=1)
             await asyncio.sleep(0.2)
-            assert followed.versions_by_key == {"config/a": 2}
-            assert followed.reach == [True]
+            assert recorded.versions_by_key == {"config/a": 2}
+            assert recorded.reachability == [True]
 
         run_virtually(test())
 
-    def test_after_an_outage_it_goes_on_where_it_was(self):
+    def test_after_an_outage_the_watch_continues_without_a_listing(self):
         async def test() -> None:
-            followed = Followed()
-            await followed.start()
-            followed.platform.is_down = True
+            recorded = RecordedFollower()
+            await recorded.start()
+            recorded.platform.is_down = True
             await asyncio.sleep(3)
-            followed.platform.is_down = False
-            await followed.platform.create("config/a", b"1")
+            recorded.platform.is_down = False
+            await recorded.platform.create("config/a", b"1")
             await asyncio.sleep(0.6)
-            assert followed.versions_by_key == {"config/a": 1}
-            assert followed.listings == 1
-            assert followed.reach == [True, False, True]
+            assert recorded.versions_by_key == {"config/a": 1}
+            assert recorded.listings == 1
+            assert recorded.reachability == [True, False, True]
 
         run_virtually(test())
 
-    def test_after_a_long_outage_it_lists_in_place_of_the_first_watch(self):
+    def test_after_a_long_outage_a_listing_replaces_the_first_watch(self):
         async def test() -> None:
-            followed = Followed(out_of_date_after=timedelta(seconds=1.5))
-            await followed.start()
-            followed.platform.is_down = True
+            recorded = RecordedFollower(out_of_date_after=timedelta(seconds=1.5))
+            await recorded.start()
+            recorded.platform.is_down = True
             await asyncio.sleep(3)
-            followed.platform.is_down = False
-            await followed.platform.create("config/a", b"1")
-            followed.platform.calls.clear()
+            recorded.platform.is_down = False
+            await recorded.platform.create("config/a", b"1")
+            recorded.platform.calls.clear()
             await asyncio.sleep(0.6)
-            assert followed.versions_by_key == {"config/a": 1}
-            assert followed.platform.calls == ["list", "watch"]
-            assert followed.reach == [True, False, True]
+            assert recorded.versions_by_key == {"config/a": 1}
+            assert recorded.platform.calls == ["list", "watch"]
+            assert recorded.reachability == [True, False, True]
 
         run_virtually(test())
 
-    def test_in_a_quiet_time_it_does_not_list_again(self):
+    def test_without_changes_it_does_not_list_again(self):
         async def test() -> None:
-            followed = Followed(out_of_date_after=timedelta(seconds=1.5))
-            await followed.start()
+            recorded = RecordedFollower(out_of_date_after=timedelta(seconds=1.5))
+            await recorded.start()
             await asyncio.sleep(20)
-            assert followed.listings == 1
+            assert recorded.listings == 1
 
         run_virtually(test())
 
-    def test_a_watch_that_is_too_old_lists_again(self):
+    def test_a_watch_from_a_version_too_old_lists_again(self):
         async def test() -> None:
-            followed = Followed()
-            await followed.start()
-            await followed.platform.create("config/a", b"1")
-            followed.platform.oldest_change = followed.platform.version + 1
+            recorded = RecordedFollower()
+            await recorded.start()
+            await recorded.platform.create("config/a", b"1")
+            recorded.platform.oldest_change = recorded.platform.version + 1
             await asyncio.sleep(0.2)
-            followed.platform.oldest_change = 0
+            recorded.platform.oldest_change = 0
             await asyncio.sleep(0.5)
-            assert followed.listings >= 2
-            assert followed.versions_by_key == {"config/a": 1}
+            assert recorded.listings >= 2
+            assert recorded.versions_by_key == {"config/a": 1}
 
         run_virtually(test())
 
-    def test_an_outage_at_the_start_is_waited_out(self):
+    def test_an_outage_at_the_start_is_survived(self):
         async def test() -> None:
-            followed = Followed()
-            followed.platform.is_down = True
-            await followed.start()
-            followed.platform.is_down = False
-            await followed.platform.create("config/a", b"1")
+            recorded = RecordedFollower()
+            recorded.platform.is_down = True
+            await recorded.start()
+            recorded.platform.is_down = False
+            await recorded.platform.create("config/a", b"1")
             await asyncio.sleep(0.6)
-            assert followed.versions_by_key == {"config/a": 1}
+            assert recorded.versions_by_key == {"config/a": 1}
 
         run_virtually(test())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is there, by questions and gossip; departures that no late word takes back."""
+"""Membership by probes and gossip, and departures that late updates do not revert."""
 
 import asyncio
 from collections import Counter
@@ -51,7 +51,7 @@
 
 
 class TestMemberTable:
-    def test_a_suspected_host_is_gone_unless_it_contradicts_in_time(self):
+    def test_a_suspected_host_is_declared_dead_unless_it_refutes_in_time(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row("a", 5), row("b", 5)], NOW)
         table.suspect("a", NOW)
@@ -62,7 +62,7 @@
         table.expire(SUSPECT_FOR)
         assert [view.alive for view in table.views([], NOW)] == [False, True]
 
-    def test_only_newer_word_brings_a_host_back(self):
+    def test_only_a_newer_row_makes_a_host_alive_again(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row("a", 5)], NOW)
         table.suspect("a", NOW)
@@ -72,16 +72,16 @@
         table.merge([row("a", 6)], SUSPECT_FOR)
         assert table.views([], NOW)[0].alive
 
-    def test_a_host_never_heard_of_is_out_of_reach(self):
+    def test_an_unknown_host_is_not_alive(self):
         view = MemberTable(own=row("me", 1)).views(["a"], NOW)[0]
         assert (view.alive, view.since_contact) == (False, None)
 
-    def test_a_restarted_host_runs_past_its_old_counter(self):
+    def test_a_restarted_host_exceeds_its_former_counter(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row("me", 100)], NOW)
         assert table.own.counter > 100
 
-    def test_a_host_contradicts_word_that_it_is_suspected_or_gone(self):
+    def test_a_host_refutes_that_it_is_suspected(self):
         table = MemberTable(own=row("me", 7))
         other = MemberTable(own=row("a", 1))
         other.merge([table.own], NOW)
@@ -91,7 +91,7 @@
         other.expire(SUSPECT_FOR + SECOND)
         assert other.views([], NOW)[0].alive
 
-    def test_a_host_that_is_renamed_is_gone_under_its_old_name(self):
+    def test_a_renamed_host_is_dead_under_its_former_name(self):
         table = MemberTable(own=row("me", 5))
         other = MemberTable(own=row("other", 1))
         other.merge([row("me", 5)], NOW)
@@ -100,14 +100,14 @@
         assert [
             (known.host_id, known.failure_domain) for known in other.reachable()
         ] == [("you", "tigre")]
-        # Late word of the old name changes nothing, and it may come back.
+        # A late row of the former name has no effect, and the name can be used again.
         other.merge([row("me", 5)], NOW)
         assert [known.host_id for known in other.reachable()] == ["you"]
         table.change_own(now=NOW, host_id="me")
         other.merge([table.own, *table.pop_updates(9)], NOW)
         assert [known.host_id for known in other.reachable()] == ["me"]
 
-    def test_a_name_that_another_host_has_is_its_own_again(self):
+    def test_a_former_name_stays_with_another_host_that_uses_it(self):
         mine, theirs = row("me", 5), row("me", 9)
         table, other = MemberTable(own=mine), MemberTable(own=theirs)
         table.change_own(now=NOW, host_id="you")
@@ -116,7 +116,7 @@
         assert [known.host_id for known in table.reachable()] == ["me"]
         assert [known.host_id for known in other.reachable()] == ["you"]
 
-    def test_what_is_gone_for_others_is_suspected_first(self):
+    def test_a_host_reported_dead_by_others_is_suspected_first(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row("a", 5)], NOW)
         table.merge([msgspec.structs.replace(row("a", 5), state=MemberState.DEAD)], NOW)
@@ -124,7 +124,7 @@
         table.expire(SUSPECT_FOR)
         assert not table.views([], NOW)[0].alive
 
-    def test_the_newest_configuration_is_a_living_hosts(self):
+    def test_dead_hosts_do_not_count_for_the_newest_configuration(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row("dead", 1, version=9)], NOW)
         table.suspect("dead", NOW)
@@ -132,20 +132,20 @@
         table.merge([row("a", 1, version=7), row("b", 1, version=8)], SUSPECT_FOR)
         assert table.newest_config() == ("b", 8)
 
-    def test_versions_heard_later_of_one_counter_are_taken(self):
+    def test_newer_versions_of_the_same_counter_are_merged(self):
         table = MemberTable(own=row("me", 1))
         first = msgspec.structs.replace(row("a", 1), versions_by_prefix={"x": 3})
         second = msgspec.structs.replace(first, versions_by_prefix={"x": 5, "y": 1})
         table.merge([first, second, first], NOW)
         assert table.find("a").versions_by_prefix == {"x": 5, "y": 1}
 
-    def test_a_configuration_heard_later_of_one_counter_is_taken(self):
+    def test_a_newer_configuration_of_the_same_counter_is_merged(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row("a", 1, version=3), row("a", 1, version=5)], NOW)
         table.merge([row("a", 1, version=4)], NOW)
         assert table.newest_config() == ("a", 5)
 
-    def test_a_new_configuration_is_no_news(self):
+    def test_a_new_configuration_is_not_spread_as_a_change(self):
         table = MemberTable(own=row("me", 1))
         while table.has_updates:
             table.pop_updates(UPDATE_ROWS)
@@ -153,13 +153,13 @@
         assert (table.own.config_version, table.own.counter) == (5, 1)
         assert not table.has_updates
 
-    def test_a_change_is_told_a_number_of_times_and_no_more(self):
+    def test_a_change_is_sent_a_limited_number_of_times(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row(f"h{n}", 1) for n in range(30)], NOW)
-        told = Counter(
+        sends_by_id = Counter(
             item.host_id for _ in range(100) for item in table.pop_updates(UPDATE_ROWS)
         )
-        assert set(told.values()) == {SENDS_PER_LOG * 5}
+        assert set(sends_by_id.values()) == {SENDS_PER_LOG * 5}
         assert not table.has_updates
         table.suspect("h3", NOW)
         assert [item.host_id for item in table.pop_updates(UPDATE_ROWS)] == ["h3"]
@@ -169,17 +169,17 @@
 
 
 class TestFleets:
-    """Word of hosts in fleets of the users' sizes, today's and the target's.
+    """Membership in fleets of today's sizes and of the target size.
 
-    The patterns: a join, a death, a quarter of the fleet that joins, the start of all,
-    a failure domain that is cut off for shorter and for longer than a host is
-    suspected, pauses, and links that lose 3 in 100 messages. By heartbeats that were
-    passed on, 7 in 100 words of 195 hosts and 25 in 100 of 330 counted as too old
-    after a minute, all of living hosts.
+    Covers a join, a crash, a quarter of the fleet that joins, the start of all hosts, a
+    failure domain that is partitioned for less and for more than the suspect timeout,
+    pauses, and 3% message loss. Guards against entries of running hosts that expire:
+    with forwarded heartbeats, 7% of the entries among 195 hosts and 25% among 330 hosts
+    were taken for outdated after a minute.
     """
 
     @pytest.mark.parametrize(("hosts", "domains"), SIZES)
-    def test_a_join_a_death_and_calm(self, hosts, domains):
+    def test_a_join_a_crash_and_no_changes(self, hosts, domains):
         async def test() -> None:
             fleet = Fleet(hosts=hosts, domains=domains, loss=0.03)
             fleet.start(fleet.rows[:-1])
@@ -189,10 +189,10 @@
                 node.table.revision += 1
             fleet.start(fleet.rows[-1:])
             limit = 8
-            took = await fleet.wait_until(
+            duration = await fleet.wait_until(
                 lambda: fleet.all_know(hosts - 1), limit=limit
             )
-            assert took < limit
+            assert duration < limit
             sent = sum(node.links.bytes_sent for node in fleet.nodes)
             seconds = 10
             await asyncio.sleep(seconds)
@@ -207,7 +207,7 @@
         run_virtually(test())
 
     @pytest.mark.parametrize(("hosts", "domains"), [(74, 4), (195, 5)])
-    def test_a_join_and_a_death_while_the_configuration_changes(self, hosts, domains):
+    def test_a_join_and_a_crash_while_the_configuration_changes(self, hosts, domains):
         async def test() -> None:
             fleet = Fleet(hosts=hosts, domains=domains, loss=0.03)
             fleet.start(fleet.rows[:-1])
@@ -215,7 +215,7 @@
             for node in fleet.nodes:
                 del node.table._known_by_id[fleet.rows[-1].host_id]
                 node.table.revision += 1
-            changing = asyncio.create_task(change_often(fleet))
+            changing = asyncio.create_task(change_config_repeatedly(fleet))
             await asyncio.sleep(3)
             fleet.start(fleet.rows[-1:])
             await fleet.wait_until(lambda: fleet.all_know(hosts - 1), limit=8)
@@ -233,7 +233,7 @@
         run_virtually(test())
 
     @pytest.mark.parametrize(("hosts", "domains"), SIZES[:2])
-    def test_a_domain_cut_for_a_while_is_not_given_up(self, hosts, domains):
+    def test_a_briefly_partitioned_domain_is_not_declared_dead(self, hosts, domains):
         async def test() -> None:
             fleet = Fleet(hosts=hosts, domains=domains)
             fleet.start(fleet.rows)
@@ -250,7 +250,7 @@
         run_virtually(test())
 
     @pytest.mark.parametrize(("hosts", "domains"), [(30, 3), (80, 4)])
-    def test_a_domain_cut_for_long_comes_back(self, hosts, domains):
+    def test_a_domain_partitioned_for_long_is_found_again(self, hosts, domains):
         async def test() -> None:
             fleet = Fleet(hosts=hosts, domains=domains)
             fleet.start(fleet.rows)
@@ -266,7 +266,7 @@
 
         run_virtually(test())
 
-    def test_pauses_are_contradicted(self):
+    def test_paused_hosts_refute_the_suspicion(self):
         async def test() -> None:
             fleet = Fleet(hosts=100, domains=5, loss=0.03)
             fleet.start(fleet.rows)
@@ -282,9 +282,9 @@
 
         run_virtually(test())
 
-    def test_endpoints_that_ended_are_known_to_all_soon(self):
-        # Sixteen are taken away while the platform can't say so; one host or another
-        # is told by their addresses' new owners.
+    def test_departed_endpoints_are_soon_known_to_all_hosts(self):
+        # Sixteen endpoints are removed while the platform can't report it. Some hosts
+        # find out from the new owners of their addresses.
         async def test() -> None:
             fleet = Fleet(hosts=74, domains=4)
             fleet.start(fleet.rows)
@@ -294,14 +294,14 @@
                 node = fleet.nodes[number % 5]
                 node.departures.note(endpoint.start, channel="its address")
 
-            def all_told() -> bool:
+            def all_informed() -> bool:
                 return all(
                     node.departures.is_leaving(endpoint)
                     for node in fleet.nodes
                     for endpoint in ended
                 )
 
-            assert await fleet.wait_until(all_told, limit=20) <= 6
+            assert await fleet.wait_until(all_informed, limit=20) <= 6
 
         run_virtually(test())
 
@@ -319,7 +319,7 @@
 
         run_virtually(test())
 
-    def test_all_are_lost_and_start_again(self):
+    def test_all_hosts_crash_and_restart(self):
         async def test() -> None:
             fleet = Fleet(hosts=195, domains=5)
             fleet.start(fleet.rows)
@@ -334,8 +334,8 @@
         run_virtually(test())
 
 
-async def change_often(fleet: Fleet) -> None:
-    """Put a new configuration in force on all hosts, every 400 ms."""
+async def change_config_repeatedly(fleet: Fleet) -> None:
+    """Raise the configuration version on all hosts every 400 ms."""
     for version in range(1, 1000):
         for node in fleet.nodes:
             node.gossip.config_version = version
@@ -348,7 +348,7 @@
 
 
 class TestDepartures:
-    def test_each_channel_alone_takes_an_endpoint_out(self):
+    def test_each_channel_alone_marks_an_endpoint_as_leaving(self):
         catalog = make_catalog([SERVICE], [make_endpoint()])
         by_list = Departures()
         by_list.merge_host_list(
@@ -359,7 +359,7 @@
         assert by_list.is_leaving(make_endpoint())
         assert by_peer.is_leaving(make_endpoint())
 
-    def test_only_a_newer_incarnation_brings_it_back(self):
+    def test_only_a_newer_incarnation_is_not_leaving(self):
         departures = Departures()
         departures.note(make_endpoint(3).start, channel="test")
         departures.note(make_endpoint(1).start, channel="late")
@@ -370,7 +370,7 @@
 
     @settings(max_examples=50, deadline=None, derandomize=True)
     @given(st.lists(st.integers(0, 5), min_size=1))
-    def test_any_order_ends_at_the_highest(self, incarnations):
+    def test_any_order_ends_at_the_highest_incarnation(self, incarnations):
         departures = Departures()
         for incarnation in incarnations:
             start = EndpointStart(endpoint_id="r", incarnation=incarnation)
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -1,4 +1,4 @@
-"""The mirror of the platform's objects: late news changes nothing."""
+"""The mirror of the platform's objects, on which outdated changes have no effect."""
 
 import msgspec
 from hypothesis import given
@@ -17,7 +17,7 @@
 
 
 class TestObjectMirror:
-    def test_a_listing_tells_what_changed_and_what_went(self):
+    def test_a_listing_returns_changed_and_removed_objects(self):
         mirror = ObjectMirror()
         mirror.replace(listing(2, stored("a", 1), stored("b", 2)))
         changed = mirror.replace(listing(5, stored("b", 4)))
@@ -26,31 +26,31 @@
             ("b", 4, False),
         }
 
-    def test_an_older_listing_is_not_taken(self):
+    def test_an_older_listing_is_ignored(self):
         mirror = ObjectMirror()
         mirror.replace(listing(5, stored("a", 4)))
         assert mirror.replace(listing(3)) is None
         assert mirror.current_versions() == {"a": 4}
 
-    def test_a_late_change_changes_nothing(self):
+    def test_a_late_change_is_ignored(self):
         mirror = ObjectMirror()
         mirror.advance(listing(4, stored("a", 4, REMOVED)))
         assert mirror.advance(listing(2, stored("a", 2))) == []
         assert mirror.current_versions() == {}
 
-    def test_of_an_object_that_changed_twice_only_the_newest_state_is_told(self):
+    def test_only_the_newest_of_several_states_of_an_object_is_returned(self):
         mirror = ObjectMirror()
         newest = stored("a", 4)
         changes = listing(5, stored("a", 2), stored("b", 3), newest)
         assert mirror.advance(changes) == [newest, stored("b", 3)]
         assert mirror.newest == 4
 
-    def test_a_listing_of_another_store_counts_also_where_it_is_older(self):
+    def test_an_older_listing_of_another_store_is_applied(self):
         mirror = ObjectMirror()
         same, lower, higher = stored("a", 1), stored("b", 2), stored("c", 9)
         mirror.replace(listing(9, same, stored("b", 8), higher, stored("d", 7)))
-        mirror.renew()
-        # Until then what is known stays, and goes on.
+        mirror.expect_new_store()
+        # Until that listing the known state stays in force, and changes are applied.
         assert mirror.advance(listing(10, stored("d", 10))) == [stored("d", 10)]
         changed = mirror.replace(listing(3, same, lower))
         assert {(item.key, item.version, item.is_removed) for item in changed} == {
@@ -62,11 +62,12 @@
         assert mirror.current_versions() == {"a": 1, "b": 2}
         assert mirror.replace(listing(2)) is None
 
-    def test_a_removal_is_handed_on_by_one_that_began_after_it(self):
-        """Who lists after an object was removed can't tell of it.
+    def test_a_removal_is_passed_on_by_a_mirror_that_started_after_it(self):
+        """Guards against objects that stay on a host after their removal.
 
-        What happens: a host that does not watch, and learns from one that started after
-        the removal alone, keeps the object until it lists itself.
+        A mirror that lists after a removal has no record of it. A host that does not
+        watch, and receives its changes only from such a host, would keep the object
+        until its next own listing.
         """
         mirror, other = ObjectMirror(), ObjectMirror()
         mirror.replace(listing(6, stored("a", 5), stored("b", 6)))
@@ -74,7 +75,7 @@
         mirror.advance(other.changes_after(mirror.newest))
         assert mirror.current_versions() == {"b": 8}
 
-    def test_what_is_newer_than_what_another_tells_is_kept(self):
+    def test_objects_newer_than_the_changes_of_another_mirror_are_kept(self):
         mirror, other = ObjectMirror(), ObjectMirror()
         mirror.replace(listing(6, stored("a", 5)))
         other.replace(listing(9, stored("b", 8)))
@@ -84,14 +85,14 @@
         mirror.advance(changes)
         assert mirror.current_versions() == {"b": 8, "c": 12}
 
-    def test_who_has_followed_since_tells_changes_alone(self):
+    def test_a_mirror_that_knows_all_removals_returns_no_keys(self):
         mirror = ObjectMirror()
         mirror.replace(listing(6, stored("a", 5), stored("b", 6)))
         mirror.advance(listing(8, stored("b", 8, REMOVED)))
         assert mirror.changes_after(6).keys is None
         assert mirror.changes_after(0).keys is None
 
-    def test_another_mirror_takes_all_from_its_changes(self):
+    def test_another_mirror_is_filled_by_its_changes(self):
         mirror, other = ObjectMirror(), ObjectMirror()
         mirror.replace(listing(3, stored("a", 1), stored("b", 3)))
         other.advance(mirror.changes_after(1))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The links between hosts: asking waits for a link, telling does not."""
+"""Links between hosts: requests wait for a link, notifications do not."""
 
 import asyncio
 import time
@@ -35,7 +35,7 @@
 
 
 class TestLinks:
-    def test_asking_waits_for_a_link_that_is_coming_up(self):
+    def test_a_request_waits_for_a_link_that_is_connecting(self):
         async def main() -> None:
             port_a, port_b = free_ports(2)
             first, second = make_peers("a", port_a, b=port_b), make_peers("b", port_b)
@@ -53,36 +53,36 @@
 
         asyncio.run(main())
 
-    def test_asking_a_peer_that_is_gone_ends_in_time(self):
+    def test_a_request_to_an_unreachable_peer_times_out(self):
         async def main() -> None:
             port_a, port_b = free_ports(2)
             first = make_peers("a", port_a, b=port_b)
             first.start()
-            began = time.monotonic()
+            started_at = time.monotonic()
             with pytest.raises(PeerError):
                 await first.ask(
                     "b", FetchConfig(after=0), timeout=timedelta(seconds=0.2)
                 )
-            assert time.monotonic() - began < 2
+            assert time.monotonic() - started_at < 2
             await first.stop()
 
         asyncio.run(main())
 
-    def test_what_is_told_to_a_peer_out_of_reach_is_dropped(self):
+    def test_a_notification_to_an_unreachable_peer_is_dropped(self):
         async def main() -> None:
             port_a, port_b = free_ports(2)
             first, second = make_peers("a", port_a, b=port_b), make_peers("b", port_b)
-            heard = []
+            received = []
             first.start()
-            news = HostNews(host_id="a", loads_by_endpoint={}, lost=["old"])
-            await first.send_message(["b"], news)
-            second.listen(HostNews, heard.append)
+            notification = HostNews(host_id="a", loads_by_endpoint={}, lost=["old"])
+            await first.send_message(["b"], notification)
+            second.listen(HostNews, received.append)
             second.on(FetchConfig, answer)
             second.start()
             await second.bind()
             await first.ask("b", FetchConfig(after=0), timeout=timedelta(seconds=5))
             await asyncio.sleep(0.1)
-            assert heard == []
+            assert received == []
             await first.stop()
             await second.stop()
 
--- a/tests/test_process_limits.py
+++ b/tests/test_process_limits.py
@@ -1,4 +1,4 @@
-"""A host at the limits of its process, and links that lead where they should not."""
+"""A host at the resource limits of its process, and faults of its links."""
 
 import asyncio
 import contextlib
@@ -30,18 +30,18 @@
 from tests.platform_system import free_ports
 
 KEY = b"a key of both hosts"
-#: What a host is given on the platform, in bytes.
+#: Memory limit of a host on the platform, in bytes.
 MEMORY = 300 * 1000 * 1000
 
 
 def make_peers(name: str, port: int) -> Peers:
-    """Return the links of a host that knows no other."""
+    """Return the links of a host without peers."""
     listen = Address(host="127.0.0.1", port=port)
     return Peers(host_id=name, listen=listen, peers_by_id={}, keys=[KEY])
 
 
 def make_row(name: str, port: int) -> MemberRow:
-    """Return what is told of a host."""
+    """Return the membership row of a host."""
     return MemberRow(
         host_id=name,
         failure_domain="pilar",
@@ -57,7 +57,7 @@
 
 
 async def ask_until_answered(peers: Peers, name: str, *, within: timedelta) -> None:
-    """Ask a host until it answers."""
+    """Repeat a request to a host until it answers."""
     async with asyncio.timeout(within.total_seconds()):
         while True:
             with contextlib.suppress(PeerError):
@@ -68,9 +68,9 @@
 
 @contextlib.asynccontextmanager
 async def echo(port: int) -> AsyncIterator[asyncio.Server]:
-    """Send back all that comes, as a connection to itself does."""
+    """Serve a port that echoes all data, as a connection to itself does."""
 
-    async def send_back(
+    async def echo_data(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         writers.append(writer)
@@ -78,7 +78,7 @@
             writer.write(data)
 
     writers: list[asyncio.StreamWriter] = []
-    server = await asyncio.start_server(send_back, "127.0.0.1", port)
+    server = await asyncio.start_server(echo_data, "127.0.0.1", port)
     try:
         yield server
     finally:
@@ -89,7 +89,7 @@
 
 @contextlib.contextmanager
 def no_descriptors() -> Iterator[None]:
-    """Let this process open no more files and sockets."""
+    """Prevent this process from opening files and sockets."""
     lowest = os.dup(0)
     os.close(lowest)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -101,12 +101,13 @@
 
 
 class TestLinkToItself:
-    """A client that tries a local port of the range for clients may be given that port.
+    """Guards against a link that stays connected to itself.
 
-    It is then connected to itself: all that it sends comes back, heartbeats included.
+    A client that connects to a local port of the ephemeral range may get that port as
+    its source port. It then receives all that it sends, heartbeats included.
     """
 
-    def test_it_is_opened_anew_and_reaches_the_host(self):
+    def test_it_reconnects_and_reaches_the_host(self):
         async def main() -> None:
             port_a, port_b = free_ports(2)
             a, b = make_peers("a", port_a), make_peers("b", port_b)
@@ -121,7 +122,7 @@
                     )
                     while not await a.is_reachable("b"):
                         await asyncio.sleep(0.01)
-                    # What is connected stays so; only new connections reach the host.
+                    # Existing connections persist; only new ones reach the host.
                     server.close()
                     b.start()
                     await b.bind()
@@ -133,10 +134,10 @@
         asyncio.run(main())
 
 
-class TestTellingBehindAQuestion:
-    """A question waits for a link that is coming up; what is told must not."""
+class TestNotificationBehindRequest:
+    """A request waits for a link that is connecting; a notification must not."""
 
-    def test_it_is_dropped_at_once_where_a_question_waits(self):
+    def test_it_is_dropped_at_once_while_a_request_waits(self):
         async def main() -> None:
             port_a, port_b = free_ports(2)
             a = make_peers("a", port_a)
@@ -144,36 +145,38 @@
             a.add_peer(
                 PeerAddress(host_id="b", failure_domain="pilar", address=address)
             )
-            question = asyncio.create_task(a.ask("b", FetchConfig(after=0)))
+            request = asyncio.create_task(a.ask("b", FetchConfig(after=0)))
             try:
-                # Its first step is to hand the question to the link.
+                # In its first step the task passes the request to the link.
                 await asyncio.sleep(0)
-                telling = asyncio.create_task(
+                notification = asyncio.create_task(
                     a.send_message(["b"], FetchConfig(after=0))
                 )
-                await asyncio.wait([telling, question], return_when="FIRST_COMPLETED")
-                assert telling.done()
-                assert telling.result() == set()
+                await asyncio.wait(
+                    [notification, request], return_when="FIRST_COMPLETED"
+                )
+                assert notification.done()
+                assert notification.result() == set()
             finally:
-                await asyncio.gather(question, return_exceptions=True)
+                await asyncio.gather(request, return_exceptions=True)
                 await a.stop()
 
         asyncio.run(main())
 
 
-class TestMessagesThatCantBeTaken:
-    def test_the_next_ones_are(self):
+class TestFailingListener:
+    def test_later_messages_are_still_handled(self):
         async def main() -> None:
             port_a, port_b = free_ports(2)
             a, b = make_peers("a", port_a), make_peers("b", port_b)
             b.on(FetchConfig, answer)
-            heard = []
+            received = []
 
-            def hear(message: FetchConfig) -> None:
-                heard.append(message)
+            def receive(message: FetchConfig) -> None:
+                received.append(message)
                 raise ValueError("no such prefix")
 
-            b.listen(FetchConfig, hear)
+            b.listen(FetchConfig, receive)
             a.start()
             b.start()
             await b.bind()
@@ -185,7 +188,7 @@
                 await a.ask("b", FetchConfig(after=0))
                 await a.send_message(["b"], FetchConfig(after=0))
                 await ask_until_answered(a, "b", within=timedelta(seconds=5))
-                assert heard
+                assert received
             finally:
                 await a.stop()
                 await b.stop()
@@ -194,7 +197,7 @@
 
 
 class TestLinksWithoutDescriptors:
-    def test_a_host_is_met_once_there_are_some_again(self):
+    def test_a_host_is_linked_once_descriptors_are_free_again(self):
         async def main() -> None:
             port_a, port_b = free_ports(2)
             a, b = make_peers("a", port_a), make_peers("b", port_b)
@@ -217,7 +220,7 @@
 
         asyncio.run(main())
 
-    def test_a_host_that_was_not_met_is_let_go_without_an_error(self):
+    def test_a_peer_whose_link_failed_is_removed_without_an_error(self):
         async def main() -> None:
             port_a, port_b = free_ports(2)
             a = make_peers("a", port_a)
@@ -238,15 +241,13 @@
         asyncio.run(main())
 
 
-class TestDescriptorsOfLibzmq:
-    """libzmq ends the process where it lacks descriptors at some of its steps.
-
-    What happened: a host whose descriptors are nearly all taken as it binds the address
-    for other hosts ended with status -6, and so at a start with very few.
+class TestLibzmqDescriptors:
+    """Guards against an abort of the process by libzmq for lack of descriptors.
 
-    Why: libzmq asserts where a step of its own gets no descriptor; others it reports.
-
-    What showed it: each number of free descriptors on its own, from none on.
+    A host with nearly all descriptors taken exited with status -6 when it bound the
+    address for other hosts, and a host with very few did so at its start. libzmq
+    reports some failures to get a descriptor, but asserts on others. So the tests cover
+    each number of free descriptors, from zero on.
     """
 
     PROGRAM = """
@@ -299,20 +300,22 @@
 """
 
     @pytest.mark.parametrize("step", ["start", "bind"])
-    def test_it_lacks_some_and_goes_on_once_there_are(self, step):
+    def test_it_reports_an_error_and_succeeds_once_descriptors_are_free(self, step):
         for free in range(24):
             command = [sys.executable, "-c", self.PROGRAM, str(free), step]
             ran = subprocess.run(command, capture_output=True, text=True, timeout=20)
             assert ran.returncode == 0, (free, ran.returncode, ran.stderr[-300:])
             assert "whole" in ran.stdout
 
-    def test_a_process_has_enough_or_says_in_one_line_that_it_has_not(self, tmp_path):
-        async def start(most: int) -> int | None:
-            """Start a host that may open so many; return its status if it ends."""
+    def test_a_process_starts_or_reports_the_lack_in_one_line(self, tmp_path):
+        async def start(max_descriptors: int) -> int | None:
+            """Start a host with a descriptor limit; return its status if it exits."""
 
-            folder = tmp_path / str(most)
+            folder = tmp_path / str(max_descriptors)
             folder.mkdir()
-            async with running(folder, prepare=limit_descriptors(most)) as host:
+            async with running(
+                folder, prepare=limit_descriptors(max_descriptors)
+            ) as host:
                 while host.process.poll() is None and not await is_ready(host):
                     await asyncio.sleep(0.02)
                 if host.process.poll() is not None:
@@ -322,7 +325,9 @@
                 return host.process.poll()
 
         async def main() -> None:
-            statuses = [await start(most) for most in range(14, 40, 2)]
+            statuses = [
+                await start(max_descriptors) for max_descriptors in range(14, 40, 2)
+            ]
             assert set(statuses) == {2, None}, statuses
             assert statuses[-1] is None
             assert statuses == sorted(statuses, key=lambda status: status is None)
@@ -330,24 +335,26 @@
         asyncio.run(main())
 
 
-class TestDescriptorsOfCallers:
-    def test_callers_leave_some_for_what_the_host_opens(self, tmp_path):
-        most = 128
+class TestCallerDescriptors:
+    def test_callers_leave_descriptors_for_the_host(self, tmp_path):
+        max_descriptors = 128
 
         async def main() -> None:
-            async with running(tmp_path, prepare=limit_descriptors(most)) as host:
+            async with running(
+                tmp_path, prepare=limit_descriptors(max_descriptors)
+            ) as host:
                 await wait_ready(host)
                 writers = []
-                for _ in range(2 * most):
+                for _ in range(2 * max_descriptors):
                     _, writer = await asyncio.open_connection("127.0.0.1", host.front)
                     writers.append(writer)
-                # All that waits is taken in order: this one comes after them, and the
-                # oldest that rests gives way to it.
+                # Waiting connections are accepted in order. This one comes last, and
+                # the oldest idle connection is closed to make room for it.
                 folder = f"/proc/{host.process.pid}/fd"
                 reader, writer = await asyncio.open_connection("127.0.0.1", host.front)
                 writer.write(b"GET /none HTTP/1.1\r\nHost: h\r\n\r\n")
                 assert b"HTTP/1.1" in await asyncio.wait_for(reader.readline(), 5)
-                assert len(os.listdir(folder)) <= 0.75 * most
+                assert len(os.listdir(folder)) <= 0.75 * max_descriptors
                 assert await is_ready(host)
                 for writer in writers:
                     writer.close()
@@ -356,7 +363,7 @@
 
 
 class TestAddressSpace:
-    def test_threads_reserve_none_of_their_own(self):
+    def test_threads_reserve_no_arenas(self):
         program = """
 import threading
 from passtally.address_space import limit_arenas
@@ -379,10 +386,10 @@
 """
         command = [sys.executable, "-c", program]
         ran = subprocess.run(command, capture_output=True, check=True)
-        # One arena alone would take 64 MB; these are in kB.
+        # A single arena would take 64 MB; the figures are in kB.
         assert int(ran.stdout) < 32 * 1024
 
-    def test_callers_with_bodies_fit_in_a_limited_one(self, tmp_path):
+    def test_requests_with_bodies_fit_in_a_limited_address_space(self, tmp_path):
         callers = 600
         body = b"x" * 60_000
 
@@ -418,11 +425,11 @@
         asyncio.run(main())
 
 
-class TestSignalsLateInAStop:
-    """Whoever stops a process may say so again until it is gone."""
+class TestSignalsDuringShutdown:
+    """Guards against repeated stop signals that disturb a shutdown in progress."""
 
     @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP])
-    def test_they_dont_spoil_it(self, tmp_path, number):
+    def test_the_host_still_exits_with_status_zero(self, tmp_path, number):
         async def main() -> None:
             async with running(tmp_path) as host:
                 await wait_ready(host)
@@ -436,12 +443,13 @@
         asyncio.run(main())
 
 
-class TestSignalsBlockedByWhoStartsIt:
-    """A process inherits which signals are blocked; a thread that starts it may wait
-    for its own signals and block them.
+class TestInheritedSignalMask:
+    """Guards against stop signals that are blocked by an inherited signal mask.
+
+    The thread that starts the process may block signals that it waits for itself.
     """
 
-    def test_it_hears_of_a_stop(self, tmp_path):
+    def test_it_receives_the_stop_signal(self, tmp_path):
         def block() -> None:
             signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM})
 
--- a/tests/test_shared_watch.py
+++ b/tests/test_shared_watch.py
@@ -1,4 +1,4 @@
-"""Who watches the platform, and how the others learn."""
+"""Which hosts watch the platform, and how the others receive changes."""
 
 import asyncio
 
@@ -16,14 +16,16 @@
             await asyncio.sleep(0.01)
 
 
-def is_steady(watcher, learner) -> bool:
-    """Whether one host watches, and the other one has heard of it and does not."""
-    learns = learner.watch.is_receiving and not learner.watch.is_watching
-    return watcher.watch.is_up and learns
+def is_steady(watcher, follower_host) -> bool:
+    """Return whether one host watches, and the other one only follows it."""
+    is_following = (
+        follower_host.watch.is_receiving and not follower_host.watch.is_watching
+    )
+    return watcher.watch.is_up and is_following
 
 
 class TestOutages:
-    def test_a_host_cut_off_from_the_store_learns_from_a_peer(self):
+    def test_a_host_that_cannot_reach_the_store_gets_changes_from_a_peer(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config(3))
             await system.add_runner("i-look", LOOKUPS)
@@ -37,7 +39,7 @@
 
         run(test)
 
-    def test_while_the_store_is_away_a_new_host_starts_from_a_peer(self):
+    def test_while_the_store_is_down_a_new_host_starts_from_a_peer(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config(3))
             await system.add_runner("i-look", LOOKUPS)
@@ -60,7 +62,7 @@
         monkeypatch.setitem(should_watch.__kwdefaults__, "small_domain", 1)
         monkeypatch.setitem(should_watch.__kwdefaults__, "watchers", 1)
 
-    def test_one_watches_the_other_learns_and_takes_over(self):
+    def test_one_host_watches_and_the_other_follows_and_takes_over(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config(3))
             first = await system.add_host()
