--- a/passtally/adapter.py
+++ b/passtally/adapter.py
@@ -1,4 +1,4 @@
-"""What an entry host asks of its surroundings, in the product's own types."""
+"""The interface between an entry host and its store, engines and callers."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -19,12 +19,14 @@
 
 
 class Adapter(Protocol):
-    """Translates between a host and what surrounds it; it decides nothing.
+    """Translates between passtally's types and a platform's formats and protocols.
+
+    An adapter makes no decisions.
 
     Attributes:
-        routes_prefix: What the keys of the configuration start with.
-        endpoints_prefix: What the keys of endpoints' entries start with.
-        rollouts_prefix: What the keys of orders to move to new versions start with.
+        routes_prefix: Key prefix of the configuration.
+        endpoints_prefix: Key prefix of endpoint entries.
+        rollouts_prefix: Key prefix of roll-out orders.
     """
 
     routes_prefix: str
@@ -32,36 +34,36 @@
     rollouts_prefix: str
 
     def open_store(self, fetcher: Fetcher, url: str) -> MovablePlatform:
-        """Return the client of the store."""
+        """Return a client of the store at this URL."""
 
     def decode_routes(self, stored: StoredObject) -> RouteSet | None:
-        """Read the routes; None for an object that holds none.
+        """Decode the routes; return None for an object that holds no routes.
 
         Raises:
-            ValueError: They can't be read.
+            ValueError: The object is malformed.
         """
 
     def decode_endpoint(self, stored: StoredObject) -> Endpoint:
-        """Read an endpoint's entry.
+        """Decode an endpoint's entry.
 
         Raises:
-            ValueError: It can't be read.
+            ValueError: The entry is malformed.
         """
 
     def decode_rollout(self, stored: StoredObject) -> RolloutRecord:
-        """Read an order to move a service to another version.
+        """Decode an order to roll a service out to another version.
 
         Raises:
-            ValueError: It can't be read.
+            ValueError: The order is malformed.
         """
 
     async def record_rollout(
         self, store: Platform, record: RolloutRecord, state: RecordedState
     ) -> None:
-        """Record the state of a roll-out, unless its order has changed.
+        """Write the state of a roll-out to the store, unless its order has changed.
 
         Raises:
-            PlatformError: It was not recorded, or that is not known.
+            PlatformError: The state was not written, or the outcome is unknown.
         """
 
     def connect(
@@ -73,18 +75,18 @@
         recorder: DirectiveRecorder,
         find_address: Callable[[str], Address | None],
     ) -> Engine:
-        """Return the client of an endpoint's engine."""
+        """Return a client of an endpoint's engine."""
 
     async def is_engine(self, engine: Engine) -> bool:
-        """Return whether a model engine answers there."""
+        """Return whether a model engine answers through this client."""
 
     def make_sender(
         self, *, pool: ConnectionPool, clock: Clock, recorder: DirectiveRecorder
     ) -> Sender:
-        """Return what sends plain calls."""
+        """Return the sender of plain calls to endpoints."""
 
     def make_handler(self, front: Front) -> Handle:
-        """Return what hands callers' requests to the front."""
+        """Return the HTTP handler that passes callers' requests to the front."""
 
     def encode_ready(self, is_ready: bool) -> tuple[int, bytes]:
-        """Return the status and body for the balancer's question."""
+        """Return the HTTP status and body of the answer to a readiness check."""
--- a/passtally/catalog.py
+++ b/passtally/catalog.py
@@ -1,4 +1,4 @@
-"""This host's view of the configuration: it only ever moves forward."""
+"""This host's view of the configuration, which never returns to an older version."""
 
 import asyncio
 import random
@@ -29,7 +29,8 @@
 
 CONFIG_PREFIX = "config/"
 RELIST_JITTER = timedelta(seconds=2)
-#: With 330 hosts they list within 6.6 s, 50 a second.
+#: Interval per host over which listings are spread: 330 hosts list within 6.6 s, 50 a
+#: second.
 RELIST_PER_HOST = timedelta(milliseconds=20)
 PEER_INTERVAL = timedelta(seconds=1)
 FETCH_TIMEOUT = timedelta(seconds=5)
@@ -40,9 +41,9 @@
     """The services, endpoints and workspaces in force on this host.
 
     Attributes:
-        mirror: The objects as the platform keeps them.
+        mirror: The stored objects, with their versions in the platform.
         workspaces_by_id: The workspaces.
-        ledger: The intents under way.
+        ledger: The intents in progress.
     """
 
     mirror: ObjectMirror = attrs.field(factory=ObjectMirror)
@@ -52,19 +53,19 @@
 
     @property
     def version(self) -> int:
-        """The store-wide version of the newest change taken in."""
+        """The store-wide version up to which changes have been applied."""
         return self.mirror.version
 
     @property
     def config_version(self) -> int:
-        """The newest version of an object taken in."""
+        """The highest version of any applied object."""
         return self.mirror.newest
 
     def replace(self, listing: Listing) -> bool:
-        """Take in a whole listing.
+        """Apply a complete listing.
 
         Returns:
-            Whether it was taken: an older one than is in force is not.
+            Whether it was applied: a listing older than this catalog is not.
         """
         changed = self.mirror.replace(listing)
         for stored in changed or ():
@@ -72,12 +73,12 @@
         return changed is not None
 
     def advance(self, changes: Listing) -> None:
-        """Take in changes from a watch. Late ones change nothing."""
+        """Apply changes; those older than an applied one have no effect."""
         for stored in self.mirror.advance(changes):
             self._apply(stored)
 
     def changes_after(self, version: int) -> Listing:
-        """Return the newest state of all objects that changed after a version."""
+        """Return the current state of all objects that changed after a version."""
         return self.mirror.changes_after(version)
 
     def current_versions(self) -> dict[str, int]:
@@ -85,7 +86,7 @@
         return self.mirror.current_versions()
 
     def find_workspace(self, token_sha256: str) -> Workspace | None:
-        """Return whose token has this digest, or None."""
+        """Return the workspace whose token has this SHA-256 digest, or None."""
         return self._workspaces_by_token.get(token_sha256)
 
     def _apply(self, stored: StoredObject) -> None:
@@ -116,7 +117,7 @@
         try:
             objects_by_id[object_id] = decode_object(bytes(value), CONFIG_KINDS[kind])
         except ValueError as error:
-            # Keeping the last good object serves callers better than none.
+            # The last valid object stays in force, so that callers are still served.
             log_event("config", "Ignored a broken object.", id=object_id, why=error)
 
     def _index_token(self, before: Workspace | None, after: Workspace | None) -> None:
@@ -129,15 +130,15 @@
 
 
 class CatalogKeeper:
-    """Keeps a catalog up to date, from the platform and through its outages.
+    """Keeps a catalog up to date from the platform and, during its outages, from peers.
 
     Args:
-        catalog: What to keep.
-        platform: Where the objects are.
-        peers: Who else may know newer ones.
-        gossip: Tells which peer has the newest.
+        catalog: The catalog to update.
+        platform: The platform that stores the objects.
+        peers: The links to hosts that may have newer objects.
+        gossip: The gossip that reports each peer's configuration version.
         clock: The clock.
-        rng: Where the jitter comes from.
+        rng: Random generator for the jitter.
     """
 
     def __init__(
@@ -168,18 +169,18 @@
 
     @property
     def is_watching(self) -> bool:
-        """Whether the platform's watch is up."""
+        """Whether the watch on the platform is established."""
         return self._follower.is_watching
 
     async def run(self) -> None:
-        """List, then watch, for ever."""
+        """List the objects, then watch them, until cancelled."""
         await self._follower.run()
 
     async def follow_peers(self) -> None:
-        """Take newer configuration from peers, for ever.
+        """Fetch newer configuration from peers until cancelled.
 
-        A host that is cut off from the platform, or that starts during an outage,
-        learns from them what was accepted. A host whose watch is up needs none.
+        A host that cannot reach the platform, or that starts during an outage, receives
+        accepted changes this way. A host whose watch is established does not need it.
         """
         while True:
             await self._clock.sleep(PEER_INTERVAL)
@@ -198,7 +199,7 @@
         if isinstance(reply, ConfigChanges):
             changes = msgspec.json.decode(reply.listing, type=Listing)
             self.catalog.advance(changes)
-            self._note("Learned from a peer.", peer=host_id)
+            self._record_update("Learned from a peer.", peer=host_id)
 
     async def _answer(self, message: FetchConfig) -> ConfigChanges:
         changes = self.catalog.changes_after(message.after)
@@ -206,18 +207,18 @@
 
     def _replace(self, listing: Listing) -> None:
         if self.catalog.replace(listing):
-            self._note("Listed.")
+            self._record_update("Listed.")
 
     def _advance(self, changes: Listing) -> None:
         self.catalog.advance(changes)
         if changes.objects:
-            self._note("Changed.")
+            self._record_update("Changed.")
 
     def _relist_pause(self) -> timedelta:
-        """Return within which time hosts list again; it grows with their number."""
+        """Return the time over which hosts spread listings; it grows with the hosts."""
         return max(RELIST_JITTER, (len(self._peers.ids) + 1) * RELIST_PER_HOST)
 
-    def _note(self, sentence: str, **fields: object) -> None:
+    def _record_update(self, sentence: str, **fields: object) -> None:
         self.loaded.set()
         self._gossip.config_version = self.catalog.config_version
         log_event("config", sentence, version=self.catalog.config_version, **fields)
--- a/passtally/claim_log.py
+++ b/passtally/claim_log.py
@@ -1,10 +1,11 @@
-"""Which idempotency keys are claimed: one shard's log, as this host knows it.
-
-Pure. A shard is a series of numbered segments in the platform. Whoever creates
-the next number with a conditional create has appended; everyone else must read
-it and decide anew. So one claim wins, whichever hosts believe that they should
-write. A record stays in force for at least the retention, measured by how long
-this host has known it: no wall clock is read, and a new host keeps longer.
+"""One shard's log of claimed idempotency keys, as known to this host. Pure.
+
+A shard is a sequence of numbered segments in the platform. A host appends by creating
+the next number with a conditional create; a host that loses that race must read the
+segment and decide again. So exactly one claim of a key wins, even if several hosts
+write to the shard. A claim stays in force for at least the retention, measured from
+when this host read its segment: no wall clock is used, and a host that started later
+keeps the claim longer.
 """
 
 import base64
@@ -21,27 +22,27 @@
 
 
 class ClaimVerdict(StrEnum):
-    """How a claim ended."""
+    """The outcome of a claim."""
 
-    #: The key is this claim's.
+    #: This claim holds the key.
     GRANTED = "granted"
-    #: Another claim for the same request has it.
+    #: Another claim for the same request holds the key.
     HELD = "held"
-    #: Another claim with a different body has it.
+    #: Another claim for a request with a different body holds the key.
     MISMATCH = "mismatch"
-    #: The platform could not be asked; the claim may yet appear in the log.
+    #: The platform was unreachable; the claim may still appear in the log later.
     UNAVAILABLE = "unavailable"
 
 
 @attrs.frozen(kw_only=True)
 class Claim:
-    """One claim of a key.
+    """A host's claim of an idempotency key, for one request.
 
     Attributes:
-        digest: What identifies workspace, service and key.
-        body_digest: What identifies the request's body.
-        nonce: What tells this claim from all others.
-        holder: The host that will send the request.
+        digest: Digest of workspace, service and key.
+        body_digest: Digest of the request's body.
+        nonce: Random bytes that make this claim unique.
+        holder: The id of the host that will send the request.
     """
 
     digest: bytes
@@ -52,7 +53,12 @@
 
 @attrs.frozen(kw_only=True)
 class Void:
-    """A claim given back: its holder never sent its request, and never will."""
+    """Cancels a claim whose holder has not sent its request and never will.
+
+    Attributes:
+        digest: The claim's digest of workspace, service and key.
+        nonce: The claim's nonce.
+    """
 
     digest: bytes
     nonce: bytes
@@ -63,9 +69,10 @@
     """One append to a shard's log.
 
     Attributes:
-        nonce: What tells this append from another at the same number.
+        nonce: Random bytes that distinguish this append from a competing one for the
+            same number.
         claims: The claims, in order.
-        voids: The claims given back.
+        voids: The cancellations of claims.
     """
 
     nonce: bytes
@@ -73,7 +80,7 @@
     voids: tuple[Void, ...] = ()
 
     def to_json(self) -> bytes:
-        """Return its value in the platform."""
+        """Return the JSON that is stored in the platform."""
         rows = [
             [_text(c.digest), _text(c.body_digest), _text(c.nonce), c.holder]
             for c in self.claims
@@ -89,10 +96,10 @@
 
 
 def read_segment(value: bytes) -> Segment:
-    """Read a segment's value.
+    """Decode a segment from the JSON stored in the platform.
 
     Raises:
-        ValueError: It is damaged.
+        ValueError: The JSON is malformed.
     """
     row = msgspec.json.decode(value, type=_SegmentRow)
     claims = tuple(
@@ -111,17 +118,19 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Known:
+class _AppliedSegment:
+    """A segment in force on this host, and the monotonic time of its application."""
+
     number: int
     segment: Segment
     since: timedelta
 
 
 class ClaimLog:
-    """One shard's claims.
+    """The claims of one shard, from the segments read or written so far.
 
     Args:
-        retention: How long a claim stays in force at least.
+        retention: Minimum time that a claim stays in force.
     """
 
     def __init__(self, *, retention: timedelta) -> None:
@@ -131,21 +140,21 @@
         self._claims_by_digest: dict[bytes, Claim] = {}
         self._later_by_digest: dict[bytes, list[Claim]] = {}
         self._voided: set[bytes] = set()
-        self._known: deque[_Known] = deque()
+        self._applied: deque[_AppliedSegment] = deque()
 
     def __len__(self) -> int:
         return len(self._claims_by_digest)
 
     def is_fresh(self, now: timedelta) -> bool:
-        """Return whether no segment can have expired unseen since the last sync.
+        """Return whether no unread segment can have expired since the last sync.
 
-        Below the last one seen, numbers are free again once their segments were
-        removed; a host that slept must not append there.
+        Numbers of removed segments can be created again. A host that was suspended
+        could append at such a number and grant a key that is already held.
         """
         return self.synced_at is not None and now - self.synced_at < self._retention / 2
 
-    def judge(self, claim: Claim) -> ClaimVerdict | None:
-        """Return how a claim stands in the log, or None where its key is free."""
+    def find_verdict(self, claim: Claim) -> ClaimVerdict | None:
+        """Return the verdict on a claim, or None if its key is not claimed."""
         known = self._claims_by_digest.get(claim.digest)
         if known is None:
             return None
@@ -156,43 +165,46 @@
         return ClaimVerdict.HELD
 
     def holder(self, digest: bytes) -> str:
-        """Return the host that holds a key, or empty."""
+        """Return the id of the host that holds a key, or an empty string."""
         claim = self._claims_by_digest.get(digest)
         return claim.holder if claim else ""
 
     def apply(self, number: int, segment: Segment, now: timedelta) -> None:
-        """Take in the next segment. One that is known already changes nothing."""
+        """Apply the next segment; one that was already applied has no effect."""
         if number < self.next_number:
             return
-        # A void counts wherever it stands: its claim may have been delayed.
+        # A void also applies to a later claim: the write of the claim may have been
+        # delayed until after that of the void.
         for void in segment.voids:
             self._voided.add(void.nonce)
-            self._drop(void.digest, void.nonce)
+            self._remove_claim(void.digest, void.nonce)
         for claim in segment.claims:
             self._add(claim)
-        self._known.append(_Known(number=number, segment=segment, since=now))
+        self._applied.append(_AppliedSegment(number=number, segment=segment, since=now))
         self.next_number = number + 1
         self.synced_at = now
 
     def reset(self, segments: Sequence[tuple[int, Segment]], now: timedelta) -> None:
-        """Take in a whole listing, in the order of its numbers."""
+        """Apply the segments of a complete listing in the order of their numbers."""
         fresh = [item for item in segments if item[0] >= self.next_number]
         for number, segment in sorted(fresh, key=lambda item: item[0]):
             self.apply(number, segment, now)
         self.synced_at = now
 
     def expire(self, now: timedelta) -> list[int]:
-        """Forget what is past its retention.
+        """Remove claims older than the retention.
 
         Returns:
-            The numbers of the segments that may be removed from the platform.
-            The last one is never among them: it marks where the log ends.
+            The numbers of the segments that may be removed from the platform. The last
+            segment is never among them, since it marks the end of the log.
         """
         numbers = []
-        while len(self._known) > 1 and now - self._known[0].since >= self._retention:
-            known = self._known.popleft()
+        while (
+            len(self._applied) > 1 and now - self._applied[0].since >= self._retention
+        ):
+            known = self._applied.popleft()
             numbers.append(known.number)
-            self._forget(known.segment)
+            self._remove_segment(known.segment)
         return numbers
 
     def _add(self, claim: Claim) -> None:
@@ -202,8 +214,8 @@
         if first.nonce != claim.nonce:
             self._later_by_digest.setdefault(claim.digest, []).append(claim)
 
-    def _drop(self, digest: bytes, nonce: bytes) -> None:
-        """Drop one claim; a later one for the same key, if any, takes its place."""
+    def _remove_claim(self, digest: bytes, nonce: bytes) -> None:
+        """Remove a claim; the next claim of the same key, if any, then holds it."""
         later = self._later_by_digest.pop(digest, [])
         later = [claim for claim in later if claim.nonce != nonce]
         first = self._claims_by_digest.get(digest)
@@ -214,9 +226,9 @@
         if later:
             self._later_by_digest[digest] = later
 
-    def _forget(self, segment: Segment) -> None:
+    def _remove_segment(self, segment: Segment) -> None:
         for claim in segment.claims:
-            self._drop(claim.digest, claim.nonce)
+            self._remove_claim(claim.digest, claim.nonce)
         self._voided.difference_update(void.nonce for void in segment.voids)
 
 
--- a/passtally/claims.py
+++ b/passtally/claims.py
@@ -1,8 +1,9 @@
-"""Claims idempotency keys in the platform, many in one write.
+"""Claims idempotency keys in the platform, with many claims per write.
 
-The shard's first host by rank appends for all, so that one write carries many
-claims; that is only a hint. A host that can't reach it appends by itself, and
-the conditional create decides.
+Each shard has a preferred writer, chosen by rendezvous hashing, that appends the claims
+of all hosts, so that one write carries many claims. Correctness does not depend on it:
+a host that cannot reach the preferred writer appends by itself, and the conditional
+create of the next segment decides.
 """
 
 import asyncio
@@ -37,20 +38,26 @@
 from passtally.peers import PeerError, Peers
 
 CLAIMS_PREFIX = "claims/"
-#: Shards times this bounds the writes per second, however many hosts there are.
+#: Minimum interval between a host's writes to one shard. With one writer per shard, the
+#: number of shards bounds the write rate, independent of the number of hosts.
 MIN_WRITE_INTERVAL = timedelta(milliseconds=50)
 MAX_BATCH = 2000
-APPEND_TRIES = 8
-APPEND_PATIENCE = timedelta(seconds=2)
-RETRY_PAUSE = timedelta(milliseconds=100)
+MAX_APPEND_ATTEMPTS = 8
+APPEND_TIMEOUT = timedelta(seconds=2)
+APPEND_RETRY_DELAY = timedelta(milliseconds=100)
 ASK_TIMEOUT = timedelta(seconds=1)
-VOID_PAUSE = timedelta(seconds=1)
+VOID_RETRY_DELAY = timedelta(seconds=1)
 EXPIRE_INTERVAL = timedelta(seconds=30)
 
 
 @attrs.frozen(kw_only=True)
 class ClaimResult:
-    """How a claim ended, and which host holds the key now."""
+    """The verdict on a claim, and the host that holds the key.
+
+    Attributes:
+        verdict: The verdict.
+        holder: The id of the host that holds the key; empty if that is unknown.
+    """
 
     verdict: ClaimVerdict
     holder: str
@@ -66,10 +73,10 @@
     """Appends to one shard's log, one write at a time.
 
     Args:
-        shard: Its number.
-        platform: Where the log is.
+        shard: The shard's number.
+        platform: The platform that stores the log.
         clock: The clock.
-        retention: How long a claim stays in force at least.
+        retention: Minimum time that a claim stays in force.
     """
 
     def __init__(
@@ -85,19 +92,19 @@
         self._task: asyncio.Task[None] | None = None
 
     async def claim(self, claim: Claim) -> ClaimResult:
-        """Claim a key; answered once the log has decided, or can't."""
+        """Claim a key, and wait until the log has decided or the append has failed."""
         future = asyncio.get_running_loop().create_future()
         self._pending.append(_Pending(claim=claim, result=future))
         self._wake()
         return await future
 
     def void(self, claim: Claim) -> None:
-        """Give a claim back whose request was not sent and never will be."""
+        """Void a claim whose request was not sent and never will be."""
         self._voids.append(Void(digest=claim.digest, nonce=claim.nonce))
         self._wake()
 
     async def expire(self, *, remove: bool) -> None:
-        """Forget old claims.
+        """Remove claims older than the retention from the local log.
 
         Args:
             remove: Whether to remove their segments from the platform, too.
@@ -110,7 +117,8 @@
                 if stored is not None:
                     await self._platform.delete(key, version=stored.version)
             except PlatformError as error:
-                # A segment that stays is harmless: a later host removes it.
+                # A remaining segment is harmless: a host that lists it later
+                # removes it.
                 log_event("claims", "Could not remove a segment.", key=key, why=error)
 
     def _wake(self) -> None:
@@ -125,42 +133,43 @@
             if not written:
                 self._voids.extend(voids)
             if self._voids and not written and not self._pending:
-                await self._clock.sleep(VOID_PAUSE)
+                await self._clock.sleep(VOID_RETRY_DELAY)
             else:
                 await self._clock.sleep(MIN_WRITE_INTERVAL)
 
     async def _append(self, batch: list[_Pending], voids: list[Void]) -> bool:
-        """Append until each claim of the batch is decided; False if that fails."""
-        deadline = self._clock.monotonic() + APPEND_PATIENCE
+        """Append until each claim of the batch is decided; return False on failure."""
+        deadline = self._clock.monotonic() + APPEND_TIMEOUT
         nonce = secrets.token_bytes(NONCE_BYTES)
         try:
-            for _ in range(APPEND_TRIES):
+            for _ in range(MAX_APPEND_ATTEMPTS):
                 await self._sync()
-                open_items = self._settle(batch)
-                if not open_items and not voids:
+                undecided = self._resolve(batch)
+                if not undecided and not voids:
                     return True
                 segment = Segment(
                     nonce=nonce,
-                    claims=tuple(item.claim for item in open_items),
+                    claims=tuple(item.claim for item in undecided),
                     voids=tuple(voids),
                 )
                 if await self._try_create(segment, deadline):
-                    self._settle(batch)
+                    self._resolve(batch)
                     return True
         except PlatformError as error:
-            log_event("claims", "Platform out of reach.", why=error)
+            log_event("claims", "Could not append.", why=error)
         finally:
-            self._fail_rest(batch)
+            self._fail_unresolved(batch)
         return False
 
     async def _try_create(self, segment: Segment, deadline: timedelta) -> bool:
-        """Create the next segment; False where another one stands there.
+        """Create the next segment; return False if its number is already taken.
 
-        A lost answer is settled by reading back: the nonce tells whose it is.
+        After a lost answer the segment is read back; its nonce shows which writer
+        created it.
         """
         number = self.log.next_number
         while True:
-            asked_at = self._clock.monotonic()
+            sent_at = self._clock.monotonic()
             try:
                 self.write_count += 1
                 await self._platform.create(self._key(number), segment.to_json())
@@ -170,10 +179,12 @@
             except (UnavailableError, ThrottledError):
                 if self._clock.monotonic() >= deadline:
                     raise
-                await self._clock.sleep(RETRY_PAUSE)
+                await self._clock.sleep(APPEND_RETRY_DELAY)
         now = self._clock.monotonic()
-        if not self.log.is_fresh(now) or now - asked_at > APPEND_PATIENCE * 10:
-            raise UnavailableError("slept during the write", step="create", peer="")
+        if not self.log.is_fresh(now) or now - sent_at > APPEND_TIMEOUT * 10:
+            raise UnavailableError(
+                "host was suspended during the write", step="create", peer=""
+            )
         self.log.apply(number, segment, now)
         return True
 
@@ -189,26 +200,26 @@
     async def _sync(self) -> None:
         if self.log.is_fresh(self._clock.monotonic()):
             return
-        asked_at = self._clock.monotonic()
+        sent_at = self._clock.monotonic()
         listing = await self._platform.list_objects(self._prefix)
-        segments = [_numbered(stored) for stored in listing.objects]
-        self.log.reset(segments, asked_at)
+        segments = [_read_numbered(stored) for stored in listing.objects]
+        self.log.reset(segments, sent_at)
 
-    def _settle(self, batch: Sequence[_Pending]) -> list[_Pending]:
-        """Answer what the log has decided; return the rest, one for each key."""
-        still_open: dict[bytes, _Pending] = {}
+    def _resolve(self, batch: Sequence[_Pending]) -> list[_Pending]:
+        """Resolve the claims that the log decides; return one undecided per key."""
+        undecided_by_digest: dict[bytes, _Pending] = {}
         for item in batch:
             if item.result.done():
                 continue
-            verdict = self.log.judge(item.claim)
+            verdict = self.log.find_verdict(item.claim)
             if verdict is None:
-                still_open.setdefault(item.claim.digest, item)
+                undecided_by_digest.setdefault(item.claim.digest, item)
                 continue
             holder = self.log.holder(item.claim.digest)
             item.result.set_result(ClaimResult(verdict=verdict, holder=holder))
-        return list(still_open.values())
+        return list(undecided_by_digest.values())
 
-    def _fail_rest(self, batch: Sequence[_Pending]) -> None:
+    def _fail_unresolved(self, batch: Sequence[_Pending]) -> None:
         failed = ClaimResult(verdict=ClaimVerdict.UNAVAILABLE, holder="")
         for item in batch:
             if not item.result.done():
@@ -219,14 +230,14 @@
 
 
 class Claims:
-    """Claims keys for this host, and for peers that ask.
+    """Claims keys for this host, and for peers on request.
 
     Args:
-        platform: Where the logs are.
-        peers: The links.
+        platform: The platform that stores the logs.
+        peers: The links to other hosts.
         clock: The clock.
-        shards: How many logs there are; the same on all hosts.
-        retention: How long a claim stays in force at least.
+        shards: Number of shards, each with its own log; the same on all hosts.
+        retention: Minimum time that a claim stays in force.
     """
 
     def __init__(
@@ -246,37 +257,39 @@
             )
             for number in range(shards)
         ]
-        self._away_until: dict[str, timedelta] = {}
+        self._unreachable_until: dict[str, timedelta] = {}
         peers.on(AskClaim, self._answer)
 
     @property
     def write_count(self) -> int:
-        """How many writes this host has sent to the platform for claims."""
+        """Number of writes that this host has sent to the platform for claims."""
         return sum(writer.write_count for writer in self._writers)
 
     async def claim(self, claim: Claim) -> ClaimResult:
-        """Claim a key, through the shard's first host where it can be reached."""
+        """Claim a key through the shard's preferred writer, or directly without it."""
         shard = self._shard_of(claim.digest)
-        first = self._first_host(shard)
-        if first != self._peers.host_id:
-            answer = await self._ask(first, shard, claim)
+        preferred = self._preferred_writer(shard)
+        if preferred != self._peers.host_id:
+            answer = await self._ask_peer(preferred, shard, claim)
             if answer is not None:
                 return answer
         return await self._writers[shard].claim(claim)
 
     def void(self, claim: Claim) -> None:
-        """Give a claim back whose request was not sent and never will be."""
+        """Void a claim whose request was not sent and never will be."""
         self._writers[self._shard_of(claim.digest)].void(claim)
 
     async def run(self) -> None:
-        """Remove what is past its retention, for ever."""
+        """Remove claims older than the retention, until cancelled."""
         while True:
             await self._clock.sleep(EXPIRE_INTERVAL)
             for shard, writer in enumerate(self._writers):
-                is_first = self._first_host(shard) == self._peers.host_id
-                await writer.expire(remove=is_first)
+                is_preferred = self._preferred_writer(shard) == self._peers.host_id
+                await writer.expire(remove=is_preferred)
 
-    async def _ask(self, host: str, shard: int, claim: Claim) -> ClaimResult | None:
+    async def _ask_peer(
+        self, host: str, shard: int, claim: Claim
+    ) -> ClaimResult | None:
         message = AskClaim(
             shard=shard,
             digest=claim.digest,
@@ -287,14 +300,17 @@
         try:
             answer = await self._peers.ask(host, message, timeout=ASK_TIMEOUT)
         except PeerError as error:
-            log_event("claims", "Shard's first host away.", peer=host, why=error)
-            self._away_until[host] = self._clock.monotonic() + 5 * ASK_TIMEOUT
+            log_event(
+                "claims", "Shard's preferred writer unreachable.", peer=host, why=error
+            )
+            self._unreachable_until[host] = self._clock.monotonic() + 5 * ASK_TIMEOUT
             return None
         if not isinstance(answer, ClaimAnswer):
             return None
         verdict = ClaimVerdict(answer.verdict)
         if verdict is ClaimVerdict.UNAVAILABLE:
-            # It may be cut off from the platform where this host is not.
+            # The preferred writer may be cut off from the platform while this host
+            # is not, so this host appends by itself.
             return None
         return ClaimResult(verdict=verdict, holder=answer.holder)
 
@@ -311,14 +327,14 @@
     def _shard_of(self, digest: bytes) -> int:
         return int.from_bytes(digest[:4]) % len(self._writers)
 
-    def _first_host(self, shard: int) -> str:
+    def _preferred_writer(self, shard: int) -> str:
         now = self._clock.monotonic()
-        near = [
+        reachable = [
             host
             for host in [self._peers.host_id, *self._peers.ids]
-            if self._away_until.get(host, now) <= now
+            if self._unreachable_until.get(host, now) <= now
         ]
-        return max(near, key=lambda host: _rank(host, shard))
+        return max(reachable, key=lambda host: _rank(host, shard))
 
 
 def new_claim(
@@ -327,11 +343,11 @@
     """Return a new claim of an idempotency key.
 
     Args:
-        workspace: Whose key it is.
-        service: The service that is called.
-        key: The key.
-        body: What tells whether a retry is the same request.
-        holder: The host that will send it.
+        workspace: The workspace that the key belongs to.
+        service: The called service.
+        key: The idempotency key.
+        body: The request's body; its digest shows whether a retry is the same request.
+        holder: The id of the host that will send the request.
     """
     scope = "\0".join((workspace, service, key)).encode()
     return Claim(
@@ -346,5 +362,5 @@
     return hashlib.blake2b(f"{host}/{shard}".encode(), digest_size=8).digest()
 
 
-def _numbered(stored: StoredObject) -> tuple[int, Segment]:
+def _read_numbered(stored: StoredObject) -> tuple[int, Segment]:
     return int(stored.key.rpartition("/")[2]), read_segment(bytes(stored.value))
--- a/passtally/config_store.py
+++ b/passtally/config_store.py
@@ -1,4 +1,4 @@
-"""Writes that are answered only once it is certain whether they were accepted."""
+"""Configuration writes that resolve lost answers by reading the object back."""
 
 from collections.abc import Callable, Mapping
 from datetime import timedelta
@@ -25,15 +25,15 @@
 
 T = TypeVar("T")
 
-WRITE_PATIENCE = timedelta(seconds=5)
-WRITE_PAUSE = timedelta(milliseconds=100)
+WRITE_RETRY_TIME = timedelta(seconds=5)
+WRITE_RETRY_DELAY = timedelta(milliseconds=100)
 
 
 class ConfigStore:
     """Reads and writes configuration, intents and the ledger.
 
     Args:
-        platform: Where they are.
+        platform: The platform that stores them.
         clock: The clock.
     """
 
@@ -42,50 +42,53 @@
         self._clock = clock
 
     async def get(self, key: str) -> StoredObject | None:
-        """Return one object; raises PlatformError."""
+        """Return one object, or None if it does not exist; raises PlatformError."""
         return await self._platform.get(key)
 
     async def put(self, key: str, value: bytes, *, version: int | None) -> int:
-        """Write an object and return its version once the platform has it.
+        """Write an object and return its version once the platform accepted it.
 
-        A write whose answer was lost is read back: if the object then holds this
-        value, it was accepted.
+        A write whose answer was lost is retried; on a conflict the object is read back,
+        and if it holds this value, the write was accepted.
 
         Args:
-            key: The object.
-            value: Its JSON.
-            version: The version it must have now; 0 for none, None for any.
+            key: The object's key.
+            value: The object's JSON.
+            version: The expected current version; 0 if the object must not exist,
+                None for any version.
 
         Raises:
-            ConflictError: It has another version.
-            UnavailableError: The platform could not be asked; unknown.
+            ConflictError: The object has another version.
+            UnavailableError: The platform is unreachable; the write may or may not
+                have taken effect.
         """
-        deadline = self._clock.monotonic() + WRITE_PATIENCE
-        is_repeat = False
+        deadline = self._clock.monotonic() + WRITE_RETRY_TIME
+        is_retry = False
         while True:
             try:
                 expected = await self._find_version(key) if version is None else version
                 return await self._write(key, value, expected)
             except ConflictError:
-                stored = await self._platform.get(key) if is_repeat else None
+                stored = await self._platform.get(key) if is_retry else None
                 if stored is not None and bytes(stored.value) == value:
                     return stored.version
                 if version is not None:
                     raise
             except (UnavailableError, ThrottledError):
-                is_repeat = True
+                is_retry = True
                 if self._clock.monotonic() >= deadline:
                     raise
-            await self._clock.sleep(WRITE_PAUSE)
+            await self._clock.sleep(WRITE_RETRY_DELAY)
 
     async def remove(self, key: str, *, version: int | None) -> None:
-        """Remove an object; one that is gone already is no error.
+        """Remove an object; a missing object is not an error.
 
         Raises:
-            ConflictError: It has another version.
-            UnavailableError: The platform could not be asked; unknown.
+            ConflictError: The object has another version.
+            UnavailableError: The platform is unreachable; the object may or may not
+                have been removed.
         """
-        deadline = self._clock.monotonic() + WRITE_PATIENCE
+        deadline = self._clock.monotonic() + WRITE_RETRY_TIME
         while True:
             try:
                 stored = await self._platform.get(key)
@@ -100,10 +103,10 @@
             except (UnavailableError, ThrottledError):
                 if self._clock.monotonic() >= deadline:
                     raise
-            await self._clock.sleep(WRITE_PAUSE)
+            await self._clock.sleep(WRITE_RETRY_DELAY)
 
     async def versions(self) -> Mapping[str, int]:
-        """Return the versions of all configuration objects."""
+        """Return the versions of all configuration objects by key."""
         listing = await self._platform.list_objects("config/")
         return {stored.key: stored.version for stored in listing.objects}
 
@@ -120,11 +123,11 @@
         return read_intent(bytes(stored.value)), stored.version
 
     async def change_ledger(self, change: Callable[[Ledger], Ledger]) -> None:
-        """Change the ledger, again and again until no other host was in between.
+        """Change the ledger, and retry as long as another host's write conflicts.
 
         Args:
-            change: Returns the new ledger for the newest one. It may raise; then
-                nothing is written. Returning the same one writes nothing.
+            change: Returns the new ledger for the current one. If it raises or returns
+                an equal ledger, nothing is written.
         """
         while True:
             stored = await self._platform.get(LEDGER_KEY)
--- a/passtally/http_platform.py
+++ b/passtally/http_platform.py
@@ -24,11 +24,11 @@
 
 
 class HttpPlatform:
-    """The platform over HTTP.
+    """Client of the platform's object API over HTTP.
 
     Args:
         session: The client session; it must not follow redirects by itself.
-        url: Where the platform listens.
+        url: The platform's base URL.
     """
 
     def __init__(self, *, session: aiohttp.ClientSession, url: str) -> None:
@@ -55,7 +55,7 @@
         return msgspec.json.decode(body, type=_Written).version
 
     async def update(self, key: str, value: bytes, *, version: int) -> int:
-        """Replace an object of exactly this version; return the new one."""
+        """Replace an object of exactly this version; return its new version."""
         headers = {"If-Match": str(version)}
         body = await self._link.call(
             "update", "PUT", f"/v1/objects/{key}", headers=headers, data=value
@@ -70,7 +70,7 @@
     async def watch(
         self, prefix: str, *, after: int, wait: timedelta = WATCH_TIMEOUT
     ) -> Listing:
-        """Wait for changes after a version; an empty listing on a quiet wait."""
+        """Wait for changes after a version; return an empty listing on a timeout."""
         params = {
             "prefix": prefix,
             "after": str(after),
@@ -83,6 +83,6 @@
         return msgspec.json.decode(body, type=Listing)
 
     async def hosts(self) -> Sequence[HostEntry]:
-        """Return the lagging list of hosts."""
+        """Return the platform's host list, which lags behind the hosts' state."""
         body = await self._link.call("hosts", "GET", "/v1/hosts")
         return msgspec.json.decode(body, type=tuple[HostEntry, ...])
--- a/passtally/lease.py
+++ b/passtally/lease.py
@@ -1,8 +1,8 @@
-"""A lease in the platform, with a fencing number, and no clock shared.
+"""A lease stored in the platform, with fencing numbers and without synchronized clocks.
 
-The holder renews the object; another host that has seen the same version for
-longer than the lease's length, by its own monotonic clock, takes it over with
-the next fencing number. A holder stops by itself well before that.
+The holder renews the object. A host that has seen the same version for longer than
+LEASE_LENGTH on its local monotonic clock takes the lease over with the next fencing
+number. The holder stops acting on the lease SAFETY_MARGIN earlier.
 """
 
 from datetime import timedelta
@@ -22,18 +22,19 @@
 
 LEASE_LENGTH = timedelta(seconds=5)
 RENEW_INTERVAL = timedelta(seconds=1)
-#: A holder stops this long before another one may start.
+#: Minimum time between the moment when a holder that cannot renew stops and the moment
+#: when another host may take over.
 SAFETY_MARGIN = timedelta(seconds=2)
 
 
 @attrs.frozen(kw_only=True)
 class LeaseRecord:
-    """The lease as the platform keeps it.
+    """The lease's state stored in the platform.
 
     Attributes:
-        holder: Who holds it, or empty once it was given back.
-        fence: Goes up with each new holder.
-        renewal: Goes up with each renewal, so that no two writes are alike.
+        holder: The id of the holding host; empty after a release.
+        fence: Fencing number, incremented for each new holder.
+        renewal: Number of writes, so that no two written records are equal.
     """
 
     holder: str
@@ -42,12 +43,12 @@
 
 
 class Lease:
-    """One lease, as one host sees it.
+    """One host's handle on a lease.
 
     Args:
-        key: Where the platform keeps it.
-        holder: This host's name.
-        platform: Where it is.
+        key: The key of the lease's object.
+        holder: This host's id.
+        platform: The platform that stores the lease.
         clock: The clock.
     """
 
@@ -71,13 +72,13 @@
         return self._held_until is not None and now < self._held_until
 
     async def try_hold(self) -> bool:
-        """Renew, or take the lease over if its holder has fallen silent.
+        """Renew the lease, or acquire it if it is free or its holder stopped renewing.
 
         Returns:
-            Whether this host holds it now.
+            Whether this host holds the lease.
         """
         try:
-            if not await self._look():
+            if not await self._may_write():
                 return self.is_held
             await self._write(self._next_record())
         except PlatformError as error:
@@ -85,7 +86,10 @@
         return self.is_held
 
     async def release(self) -> None:
-        """Let another host take it at once. Losing this write does no harm."""
+        """Release the lease, so that another host can acquire it at once.
+
+        If the write is lost, the lease expires as usual.
+        """
         if not self.is_held:
             return
         self._held_until = None
@@ -93,11 +97,11 @@
         try:
             await self._write(record)
         except PlatformError as error:
-            log_event("lease", "Could not give back.", key=self._key, why=error)
+            log_event("lease", "Could not release.", key=self._key, why=error)
         self._held_until = None
 
-    async def _look(self) -> bool:
-        """Read the lease unless it is ours; return whether to write it."""
+    async def _may_write(self) -> bool:
+        """Return whether this host may write the lease; read it unless it is held."""
         if self.is_held:
             return True
         stored = await self._platform.get(self._key)
@@ -105,12 +109,12 @@
         version = stored.version if stored else 0
         if self._seen_at is None or version != self._version:
             self._seen_at = now
-        self._take(stored)
+        self._set_stored(stored)
         if self._record is None or not self._record.holder:
             return True
         return now - self._seen_at > LEASE_LENGTH
 
-    def _take(self, stored: StoredObject | None) -> None:
+    def _set_stored(self, stored: StoredObject | None) -> None:
         self._version = stored.version if stored else 0
         self._record = None
         if stored is not None:
@@ -126,7 +130,7 @@
         )
 
     async def _write(self, record: LeaseRecord) -> None:
-        asked_at = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         value = msgspec.json.encode(record)
         try:
             if self._version:
@@ -143,17 +147,18 @@
         self._record = record
         self._seen_at = self._clock.monotonic()
         self.fence = record.fence
-        # Counted from before the write: another host counts from after it.
-        self._held_until = asked_at + LEASE_LENGTH - SAFETY_MARGIN
+        # Measured from before the write, while other hosts measure from after it, so
+        # that this host stops first.
+        self._held_until = started_at + LEASE_LENGTH - SAFETY_MARGIN
 
     async def _read_back(self, record: LeaseRecord) -> int | None:
-        """Settle a lost answer: return the version if the write was ours."""
+        """Read the lease after a failed write; return its version if it was written."""
         stored = await self._platform.get(self._key)
         if stored is not None:
             found = msgspec.json.decode(bytes(stored.value), type=LeaseRecord)
             if found == record:
                 return stored.version
         self._held_until = None
-        self._take(stored)
+        self._set_stored(stored)
         self._seen_at = self._clock.monotonic()
         return None
--- a/passtally/object_applier.py
+++ b/passtally/object_applier.py
@@ -1,4 +1,4 @@
-"""Takes the platform's objects in: routes, endpoints, orders of new versions."""
+"""Applies the platform's objects on this host: routes, endpoints and roll-outs."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -15,16 +15,16 @@
 
 
 class ObjectApplier:
-    """Puts objects that changed in force. One that can't be read changes no other.
+    """Applies changed objects. An unreadable object does not affect the others.
 
     Args:
-        adapter: Reads the objects.
+        adapter: Decodes the objects.
         routes: The routes in force.
         catalog: The services and endpoints.
         registry: The endpoints that registered themselves.
-        rollouts: The orders of new versions; None where they are not followed.
-        learned: Set once the routes and some endpoints are known.
-        routes_changed: Called with the version of routes that are newly in force.
+        rollouts: The roll-outs; None if this host does not follow them.
+        learned: Set once the routes and at least one endpoint are known.
+        routes_changed: Called with the configuration version of newly applied routes.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._routes_changed = routes_changed
 
     def apply_routes(self, changed: Sequence[StoredObject]) -> None:
-        """Put the newest routes in force."""
+        """Apply changed routes, unless newer ones are in force already."""
         for stored in changed:
             try:
                 routes = self._adapter.decode_routes(stored)
@@ -67,7 +67,7 @@
             self._record_learned()
 
     def apply_endpoints(self, changed: Sequence[StoredObject]) -> None:
-        """Take in endpoints that came, changed or went."""
+        """Apply endpoint entries that were added, changed or removed."""
         newest = max((stored.version for stored in changed), default=0)
         self._registry.record_era(era_of(newest))
         for stored in changed:
@@ -82,7 +82,7 @@
         self._record_learned()
 
     def apply_rollouts(self, changed: Sequence[StoredObject]) -> None:
-        """Take in orders of new versions, and what was recorded of them."""
+        """Apply roll-out orders and their recorded states."""
         for stored in changed:
             name = stored.key.removeprefix(self._adapter.rollouts_prefix)
             if stored.is_removed:
--- a/passtally/object_store.py
+++ b/passtally/object_store.py
@@ -1,7 +1,8 @@
 """The platform's object API: versions, conditional updates and watches.
 
-Whatever must last or be agreed goes through it. Its protocol is described in
-docs/PLATFORM.md. Sources of every failure are named in the errors.
+All durable state and all agreement between hosts goes through this API. Its protocol
+is described in docs/PLATFORM.md. Each error names the failed call and the platform's
+URL.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -21,10 +22,10 @@
 
 
 class PlatformError(Exception):
-    """The platform did not do what it was asked.
+    """Base class of the errors of calls to the platform.
 
     Args:
-        message: What happened.
+        message: Cause of the failure.
         step: The call that failed.
         peer: The platform's URL.
     """
@@ -36,11 +37,11 @@
 
 
 class UnavailableError(PlatformError):
-    """It gave no answer; a write may have taken effect all the same."""
+    """No usable answer came; a write may have taken effect nevertheless."""
 
 
 class ThrottledError(PlatformError):
-    """It refused the call unrun, over its rate."""
+    """The platform rejected the call over its rate limit, without running it."""
 
 
 class ConflictError(PlatformError):
@@ -48,17 +49,17 @@
 
 
 class TooOldError(PlatformError):
-    """A watch asked for changes that it no longer keeps; list again."""
+    """The platform no longer keeps the changes that a watch asked for; list again."""
 
 
 @attrs.frozen(kw_only=True)
 class StoredObject:
-    """One object as the platform keeps it.
+    """An object's state in the platform.
 
     Attributes:
-        key: Its path.
+        key: The object's path.
         version: The store-wide version of its last change.
-        value: Its JSON; ``null`` in a change that removed it.
+        value: The object's JSON; ``null`` in a change that removed it.
     """
 
     key: str
@@ -76,10 +77,10 @@
     """Objects, and the store-wide version at which they were read.
 
     Attributes:
-        version: The version.
-        objects: The objects; of a watch those that changed.
-        keys: Where not all removals since are among the objects, the keys of all
-            objects that exist; else None.
+        version: The store-wide version.
+        objects: The objects; in the result of a watch, those that changed.
+        keys: Keys of all existing objects, where ``objects`` may lack removals;
+            else None.
     """
 
     version: int
@@ -89,11 +90,11 @@
 
 @attrs.frozen(kw_only=True)
 class HostEntry:
-    """One line of the lagging host list.
+    """An entry of the platform's host list, which lags behind the hosts' state.
 
     Attributes:
-        id: The host.
-        failure_domain: Where it stands.
+        id: The host's id.
+        failure_domain: The host's failure domain.
         state: ``live`` or ``leaving``.
     """
 
@@ -103,7 +104,7 @@
 
 
 class Platform(Protocol):
-    """The calls that the system makes. Each may raise any PlatformError."""
+    """Calls to the platform's object API. Each may raise any PlatformError."""
 
     async def list_objects(self, prefix: str) -> Listing:
         """Return the objects whose keys start with a prefix."""
@@ -115,7 +116,7 @@
         """Create an object that must not exist; return its version."""
 
     async def update(self, key: str, value: bytes, *, version: int) -> int:
-        """Replace an object of exactly this version; return the new one."""
+        """Replace an object of exactly this version; return its new version."""
 
     async def delete(self, key: str, *, version: int) -> None:
         """Remove an object of exactly this version."""
@@ -123,26 +124,27 @@
     async def watch(
         self, prefix: str, *, after: int, wait: timedelta = WATCH_TIMEOUT
     ) -> Listing:
-        """Wait for changes after a version; an empty listing on a quiet wait."""
+        """Wait for changes after a version; return an empty listing on a timeout."""
 
     async def hosts(self) -> Sequence[HostEntry]:
-        """Return the lagging list of hosts."""
+        """Return the platform's host list, which lags behind the hosts' state."""
 
 
 class MovablePlatform(Platform, Protocol):
-    """A client of the platform that can be told another address."""
+    """A platform client whose URL can be changed."""
 
     def move(self, url: str) -> None:
-        """Make further calls at another address."""
+        """Send all further calls to another URL."""
 
 
 class StoreLink:
-    """Makes calls to a store over HTTP, and types their failures.
+    """Calls a store over HTTP and raises a PlatformError for each failure.
 
     Args:
-        fetcher: Makes the calls.
-        url: Where the store listens.
-        on_answer: Called with each answer, refusals too, before it is checked.
+        fetcher: The HTTP client.
+        url: The store's base URL.
+        on_answer: Called with each answer, including error statuses, before its
+            status is checked.
     """
 
     def __init__(
@@ -157,7 +159,7 @@
         self.move(url)
 
     def move(self, url: str) -> None:
-        """Make further calls at another address."""
+        """Send all further calls to another URL."""
         self._url = url.rstrip("/")
 
     async def call(self, step: str, method: str, path: str, **options: Any) -> bytes:
@@ -175,10 +177,12 @@
         headers: Mapping[str, str] | None = None,
         data: bytes = b"",
     ) -> Fetched:
-        """Make one call and return its answer; empty for an object that is not there.
+        """Make one call and return its answer.
+
+        A ``get`` of an object that does not exist returns an empty body.
 
         Raises:
-            PlatformError: It failed.
+            PlatformError: The call failed.
         """
         try:
             fetched = await self._fetcher.fetch(
@@ -199,10 +203,10 @@
         return fetched
 
     def decode(self, step: str, body: bytes, kind: type[T]) -> T:
-        """Read an answer's JSON.
+        """Decode an answer's JSON body.
 
         Raises:
-            UnavailableError: It is not what was asked for.
+            UnavailableError: The body is not valid JSON of this type.
         """
         try:
             return msgspec.json.decode(body, type=kind)
--- a/passtally/object_transfer.py
+++ b/passtally/object_transfer.py
@@ -1,9 +1,10 @@
-"""Hands large objects from host to host, packed and in parts.
+"""Transfers large objects between hosts, compressed and in parts.
 
-A change of the configuration may be as large as the platform's largest value, and
-dozens of hosts learn of it at once over links of 10 Mbit/s. So an object is packed,
-fetched in parts from any host that holds it, and goes on where it stopped when one does
-not answer. Each host hands it to a few at a time; those hand it on.
+A configuration change may be as large as the platform's largest value, and dozens of
+hosts need it at once over links of 10 Mbit/s. So an object is compressed and fetched in
+parts from any host that holds it; a transfer that stopped resumes at the same offset,
+also from another host. Each host serves a few hosts at a time, and these serve others
+in turn.
 """
 
 import random
@@ -21,63 +22,65 @@
 from passtally.peers import PeerError, Peers, UnknownPeerError
 from passtally.silent_hosts import SilentHosts
 
-#: Objects whose JSON is longer than this are fetched in parts, in bytes. Entries of
-#: endpoints have some 300; a configuration of a dozen routes has 5,000.
+#: JSON size in bytes above which an object is fetched in parts. An endpoint's entry has
+#: about 300 bytes, a configuration of a dozen routes 5,000.
 LARGE_VALUE = 8 * 1024
-#: The quickest level: a configuration of 2,000 routes (527 KB) packs to 40 KB in 4 ms
-#: of a core; the slowest level takes 18 ms for 39 KB.
+#: The fastest zlib level. It compresses a configuration of 2,000 routes (527 KB) to
+#: 40 KB in 4 ms of CPU time; the slowest level takes 18 ms for 39 KB.
 PACK_LEVEL = 1
-#: The size of a part in bytes: 13 ms of a link of 10 Mbit/s, so that a caller's stream
-#: on the same link hardly waits.
+#: Size of a part in bytes. It occupies a 10 Mbit/s link for 13 ms, so that callers'
+#: streams on the same link are hardly delayed.
 PART_BYTES = 16 * 1024
-#: How many hosts are served at once. With one part each under way, a caller's event
-#: waits behind 40 ms of a link of 10 Mbit/s at most.
-SERVED_AT_ONCE = 3
-#: The rate of the thinnest links, in bytes a second (5 Mbit/s). A host that was sent
-#: its last part keeps its place for as long as the part takes there. Otherwise all of
-#: a domain of 55 are sent an object of one part (12 KB) at once, and a caller's event
-#: waits behind them for 337 ms on a link of 10 Mbit/s; so it waits for 33 ms.
+#: Maximum number of hosts served at once. With one part in flight to each of three, a
+#: caller's event waits at most 40 ms on a 10 Mbit/s link.
+MAX_SERVED_HOSTS = 3
+#: Rate of the slowest links in bytes per second (5 Mbit/s). After its last part, a host
+#: keeps its serving slot for the time that the part takes at this rate, shared by
+#: MAX_SERVED_HOSTS. Without that, all 55 hosts of a failure domain are sent a one-part
+#: object (12 KB) at once, and a caller's event waits 337 ms on a 10 Mbit/s link instead
+#: of 33 ms.
 THIN_BYTES_PER_SECOND = 625_000
-#: A host that has not asked for its next part for this long is no longer served. A part
-#: and its question take 40 ms on a link that three share.
-SERVED_FOR = timedelta(milliseconds=300)
-#: How long a part may take. Each part has its own limit: an object that comes slowly,
-#: but comes, is not begun anew. Three parts at once take 80 ms of a link of 5 Mbit/s,
-#: and other traffic delays them by 180 ms.
+#: Time without a request for the next part after which a host loses its serving slot.
+#: A request and its part take 40 ms on a link shared by three hosts.
+SERVE_TIMEOUT = timedelta(milliseconds=300)
+#: Timeout of one part. It applies to each part rather than to the whole object, so that
+#: a slow transfer that makes progress is not restarted. Three parts at once take 80 ms
+#: on a 5 Mbit/s link, and other traffic delays them by 180 ms.
 PART_TIMEOUT = timedelta(milliseconds=500)
-#: How long a host waits, at most, before it asks again where all were busy.
-BUSY_PAUSE = timedelta(milliseconds=80)
-#: Packed states that are kept of one object: one that is being handed on while the next
-#: changes come can still be completed.
-KEPT_STATES = 3
+#: Maximum random delay before the next request after the asked host had no free slot.
+MAX_BUSY_DELAY = timedelta(milliseconds=80)
+#: Number of compressed versions kept per object. Older ones are kept so that transfers
+#: in progress can complete while newer changes arrive.
+MAX_PACKED_VERSIONS = 3
 
 
 class TransferError(Exception):
-    """No host hands on an object any more.
+    """A transfer stopped before the object was complete.
 
     Args:
-        ref: The object.
-        received: The bytes that have come; the next try goes on after them.
+        ref: The object and its version.
+        received: Number of bytes received; the next attempt resumes after them.
     """
 
     def __init__(self, ref: ObjectRef, *, received: int) -> None:
         self.ref = ref
         self.received = received
         super().__init__(
-            f"nobody hands on {ref.key} at {ref.version}, {received} bytes have come"
+            f"transfer of {ref.key} at version {ref.version}"
+            f" stopped after {received} bytes"
         )
 
 
 def pack(data: bytes) -> bytes:
-    """Return bytes in their packed form."""
+    """Return data compressed with zlib."""
     return zlib.compress(data, PACK_LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
-    """Return the bytes of a packed form.
+    """Return the decompressed data.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The bytes are not a complete zlib stream.
     """
     try:
         return zlib.decompress(packed)
@@ -88,7 +91,7 @@
 def split_large(
     objects: Collection[StoredObject],
 ) -> tuple[list[StoredObject], list[ObjectRef]]:
-    """Return the objects that are sent along, and what names the large ones."""
+    """Return the objects small enough to send inline, and references to the others."""
     small = [stored for stored in objects if not _is_large(stored)]
     large = [
         ObjectRef(key=stored.key, version=stored.version)
@@ -104,31 +107,31 @@
     *,
     keys: tuple[str, ...] | None = None,
 ) -> bytes:
-    """Return a listing in its packed form; see :class:`Listing` for the arguments."""
+    """Return a compressed listing; see :class:`Listing` for the arguments."""
     listing = Listing(version=version, objects=tuple(objects), keys=keys)
     return pack(msgspec.json.encode(listing))
 
 
 def unpack_listing(packed: bytes) -> Listing:
-    """Return a listing from its packed form.
+    """Return the listing that :func:`pack_listing` compressed.
 
     Raises:
-        ValueError: It can't be read.
+        ValueError: The bytes cannot be decompressed or decoded.
     """
     return msgspec.json.decode(unpack(packed), type=Listing)
 
 
 class ObjectTransfer:
-    """Fetches large objects from other hosts, and hands them on.
+    """Fetches large objects from other hosts, and serves them to other hosts.
 
     Args:
-        host_id: This host's name.
-        peers: The links.
+        host_id: This host's id.
+        peers: The links to other hosts.
         clock: The clock.
-        rng: Where the choice of a host comes from.
-        silent: Hosts that did not answer; they are asked only where no other holds
-            the object.
-        find: Returns an object by its key as this host knows it, or None.
+        rng: Random generator for the choice of a host and for delays.
+        silent: Hosts that recently did not answer; they are asked only when no other
+            host holds the object.
+        find: Returns this host's current state of an object by key, or None.
     """
 
     def __init__(
@@ -155,35 +158,35 @@
     async def fetch(
         self, ref: ObjectRef, holders: Callable[[], Collection[str]]
     ) -> StoredObject:
-        """Fetch an object, from one host after the other.
+        """Fetch an object part by part, switching hosts when one cannot serve it.
 
         Args:
-            ref: The object.
-            holders: Returns the hosts that are known to hold it, at any moment.
+            ref: The object and its version.
+            holders: Returns the hosts currently known to hold this version.
 
         Raises:
-            TransferError: None of them handed it on.
-            ValueError: What came is not an object.
+            TransferError: A host did not answer, or no holder is left to ask.
+            ValueError: The received bytes cannot be decompressed.
         """
         received = self._parts_by_ref.setdefault(ref, bytearray())
-        useless: set[str] = set()
+        not_holding: set[str] = set()
         host_id = ""
         while True:
-            candidates = sorted(set(holders()) - useless)
+            candidates = sorted(set(holders()) - not_holding)
             if not candidates:
                 raise TransferError(ref, received=len(received))
             if host_id not in candidates:
                 host_id = self._choose(candidates)
-            part = await self._ask(host_id, ref, len(received))
+            part = await self._fetch_part(host_id, ref, len(received))
             if part is None:
-                # Others that hold this state may be gone too, and half a second is
-                # waited for each, while hosts that answer have a newer one.
+                # Other holders of this version may be unreachable too, each at the cost
+                # of a half-second timeout, while reachable hosts have a newer version.
                 raise TransferError(ref, received=len(received))
             if not part.size:
-                useless.add(host_id)
+                not_holding.add(host_id)
             elif not part.data:
                 host_id = ""
-                await self._clock.sleep(self._rng.uniform(0.3, 1) * BUSY_PAUSE)
+                await self._clock.sleep(self._rng.uniform(0.3, 1) * MAX_BUSY_DELAY)
             else:
                 received += part.data
                 if len(received) >= part.size:
@@ -191,8 +194,10 @@
 
     def _choose(self, candidates: Sequence[str]) -> str:
         now = self._clock.monotonic()
-        heard = [name for name in candidates if not self._silent.is_silent(name, now)]
-        return self._rng.choice(heard or candidates)
+        responsive = [
+            name for name in candidates if not self._silent.is_silent(name, now)
+        ]
+        return self._rng.choice(responsive or candidates)
 
     def _complete(self, ref: ObjectRef, packed: bytes) -> StoredObject:
         self._parts_by_ref.pop(ref, None)
@@ -200,10 +205,10 @@
         self._keep(ref, packed)
         return StoredObject(key=ref.key, version=ref.version, value=msgspec.Raw(value))
 
-    async def _ask(
+    async def _fetch_part(
         self, host_id: str, ref: ObjectRef, offset: int
     ) -> ObjectPart | None:
-        """Ask for one part; None where no answer came."""
+        """Request one part; return None if no answer came."""
         message = FetchPart(host_id=self.host_id, ref=ref, offset=offset)
         try:
             reply = await self._peers.ask(host_id, message, timeout=PART_TIMEOUT)
@@ -212,7 +217,7 @@
                 self._silent.note(host_id, self._clock.monotonic())
             log_event(
                 "transfer",
-                "No part came.",
+                "No part received.",
                 peer=host_id,
                 key=ref.key,
                 version=ref.version,
@@ -232,12 +237,12 @@
         end = message.offset + PART_BYTES
         data = packed[message.offset : end]
         if end >= len(packed):
-            takes = SERVED_AT_ONCE * len(data) / THIN_BYTES_PER_SECOND
-            self._served.leave(message.host_id, now + timedelta(seconds=takes))
+            duration_s = MAX_SERVED_HOSTS * len(data) / THIN_BYTES_PER_SECOND
+            self._served.release(message.host_id, now + timedelta(seconds=duration_s))
         return ObjectPart(size=len(packed), data=data)
 
     def _pack(self, ref: ObjectRef) -> bytes | None:
-        """Return the packed object; None where this host does not hold it."""
+        """Return the compressed object, or None if this host lacks this version."""
         packed = self._packed_by_ref.get(ref)
         if packed is None:
             stored = self._find(ref.key)
@@ -248,33 +253,36 @@
         return packed
 
     def _keep(self, ref: ObjectRef, packed: bytes) -> None:
-        """Keep a packed state, and of its object no more than the newest few."""
+        """Store a compressed version; drop the object's oldest versions and parts."""
         self._packed_by_ref[ref] = packed
         for refs in (self._packed_by_ref, self._parts_by_ref):
             known = sorted(
                 (other for other in refs if other.key == ref.key),
                 key=lambda other: other.version,
             )
-            for old in known[:-KEPT_STATES]:
+            for old in known[:-MAX_PACKED_VERSIONS]:
                 del refs[old]
 
 
 @attrs.define(kw_only=True)
 class AnswerPace:
-    """How fast a host answers with many small objects at once. Pure.
+    """Rate limit for answers that carry many small objects. Pure.
 
-    Hundreds of endpoints that come back together are 30 KB for each of 55 hosts. All
-    answered at once, a caller's event waits behind them for 850 ms on a link of 10
-    Mbit/s. Who is turned down asks again, and whoever has been answered answers others.
+    When hundreds of endpoints recover together, their entries are 30 KB for each of 55
+    hosts. Answering all hosts at once delays a caller's event by 850 ms on a
+    10 Mbit/s link. A rejected host asks again, and hosts that have been answered serve
+    others.
     """
 
     _free_at: timedelta = timedelta(0)
 
     def admit(self, size: int, now: timedelta) -> bool:
-        """Return whether an answer is sent now; one of a single part always is.
+        """Return whether an answer may be sent now, and reserve the link for it.
+
+        An answer no larger than one part is always admitted and reserves nothing.
 
         Args:
-            size: Its size in bytes.
+            size: Size of the answer in bytes.
             now: The monotonic time.
         """
         if size <= PART_BYTES:
@@ -287,32 +295,32 @@
 
 @attrs.define(kw_only=True)
 class ServedHosts:
-    """The hosts that an object is being handed to. Pure."""
+    """The hosts that hold a serving slot. Pure."""
 
     _until_by_host: dict[str, timedelta] = attrs.field(factory=dict)
 
     def admit(self, host_id: str, now: timedelta) -> bool:
-        """Return whether a host's question is answered with a part now.
+        """Return whether a host has a serving slot, assigning a free one if needed.
 
         Args:
-            host_id: Who asks.
+            host_id: The requesting host.
             now: The monotonic time.
         """
         for name, until in list(self._until_by_host.items()):
             if until <= now:
                 del self._until_by_host[name]
         is_served = host_id in self._until_by_host
-        if not is_served and len(self._until_by_host) >= SERVED_AT_ONCE:
+        if not is_served and len(self._until_by_host) >= MAX_SERVED_HOSTS:
             return False
-        self._until_by_host[host_id] = now + SERVED_FOR
+        self._until_by_host[host_id] = now + SERVE_TIMEOUT
         return True
 
-    def leave(self, host_id: str, at: timedelta = timedelta(0)) -> None:
-        """Take in that a host is sent the last of what it asked for.
+    def release(self, host_id: str, at: timedelta = timedelta(0)) -> None:
+        """Free a host's serving slot once its last part has arrived.
 
         Args:
             host_id: The host.
-            at: When that will have come, on the monotonic clock.
+            at: The monotonic time at which the last part will have arrived.
         """
         self._until_by_host[host_id] = at
 
--- a/passtally/store_order.py
+++ b/passtally/store_order.py
@@ -1,19 +1,22 @@
-"""The order of a store's revisions, over its comebacks from older copies. Pure.
+"""The order of a store's revisions across restores from older copies. Pure.
 
-A store that comes back from an older copy gives revisions out again, for other
-states, and tells by its era that it did. A version is both in one number, the era
-first: whoever compares, keeps or tells versions has what was written later as the
-higher one.
+A store that is restored from an older copy assigns the same revisions again, to other
+states, and reports a later era. A version combines both numbers, with the era in the
+high digits, so that a later write always has the higher version.
 """
 
-#: The revisions that one era has room for. Read in decimal, a version shows both parts.
+#: Number of revisions per era. As a power of ten it keeps era and revision readable in
+#: a version's decimal digits.
 REVISIONS_PER_ERA = 10**12
-#: Versions are told as integers of 64 bits.
+#: Highest era whose versions fit in a signed 64-bit integer, the type on the wire.
 MAX_ERA = 2**63 // REVISIONS_PER_ERA - 1
 
 
 def version_of(era: int, revision: int) -> int:
-    """Return the version of a revision in an era; 0 for one that tells no era."""
+    """Return the version of a revision in an era.
+
+    Era 0 stands for a store that reports no era.
+    """
     return era * REVISIONS_PER_ERA + revision
 
 
@@ -23,5 +26,5 @@
 
 
 def revision_of(version: int) -> int:
-    """Return the revision of a version, as the store knows it in that era."""
+    """Return the revision that the store assigned within the version's era."""
     return version % REVISIONS_PER_ERA
--- a/passtally/versions.py
+++ b/passtally/versions.py
@@ -1,4 +1,4 @@
-"""Which versions of a service's endpoints get requests, where a new one is tried."""
+"""Which versions of a service's endpoints get requests while a roll-out runs."""
 
 from datetime import timedelta
 from typing import Protocol
@@ -7,19 +7,19 @@
 
 
 class Versions(Protocol):
-    """Decides by version, and hears how each version answers."""
+    """Selects endpoints by version, and records how each version answers."""
 
     def allows(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint may get requests that are not counted."""
+        """Return whether an endpoint may get requests that are not trials."""
 
     def is_tried(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint may get requests that try a new version."""
+        """Return whether an endpoint may get trial requests of a new version."""
 
     def acquire_trial(self, service: str) -> bool:
-        """Count a new request, and return whether it is to try a new version."""
+        """Count a new request, and return whether it is a trial of a new version."""
 
     def release(self, service: str) -> None:
-        """Leave a trial to another request: no endpoint could take it."""
+        """Release a trial for which no endpoint was available to another request."""
 
     def record_answer(
         self,
@@ -30,19 +30,19 @@
         failures: int = 0,
         took: timedelta | None = None,
     ) -> None:
-        """Hear how an endpoint answered.
+        """Record how an endpoint answered.
 
         Args:
             endpoint: The endpoint.
-            route: The route, or a measure of its answers.
-            answers: How many more answers came, or should have.
-            failures: How many more of them failed or did not come whole.
-            took: How long it took.
+            route: The route, or the name of a measure of its answers.
+            answers: Number of additional answers, including those that failed to come.
+            failures: Number of these that failed or were incomplete.
+            took: Time that the answer took.
         """
 
 
 class AnyVersion:
-    """Lets all versions have all requests."""
+    """Sends requests to all versions, without trials."""
 
     def allows(self, endpoint: Endpoint) -> bool:
         """Return True."""
--- a/tests/rated_fleet.py
+++ b/tests/rated_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of hosts that learn of changes over links of bounded rate, in virtual time."""
+"""Fleets of hosts that receive changes over links of limited rate, in virtual time."""
 
 import asyncio
 import json
@@ -20,9 +20,10 @@
 from tests.rated_network import FixedRoster, RatedNetwork, Wire
 
 ROUTES = 1980
-#: How much longer than asked a watch is waited for.
+#: Seconds added to a watch's requested wait for its timeout.
 WATCH_SLACK = 0.4
-#: A store's answer shares its host's link: others come between parts of this size.
+#: Size in bytes of the segments in which a store's answer is carried. Other messages on
+#: the host's link can pass between two segments.
 SEGMENT_BYTES = 16 * 1024
 
 
@@ -60,16 +61,16 @@
 
 
 class StoreLink:
-    """One host's way to a store: answers take time, and room on the host's link."""
+    """One host's connection to a store, with latency, over the host's rated link."""
 
     def __init__(
-        self, *, store: FakePlatform, wire: Wire, answers_in: float = 0.004
+        self, *, store: FakePlatform, wire: Wire, latency_s: float = 0.004
     ) -> None:
-        self.answers_in = answers_in
+        self.latency_s = latency_s
         #: Whether the store refuses this host's calls.
         self.is_refused = False
-        #: Until when this host's watch hears nothing, though the store is there.
-        self.deaf_until = 0.0
+        #: Loop time until which this host's watch receives nothing from the store.
+        self.silent_until = 0.0
         self._store = store
         self._wire = wire
 
@@ -83,7 +84,7 @@
             async with asyncio.timeout(wait.total_seconds() + WATCH_SLACK):
                 changes = await self._store.watch(prefix, after=after, wait=wait)
                 now = asyncio.get_running_loop().time()
-                await asyncio.sleep(self.deaf_until - now)
+                await asyncio.sleep(self.silent_until - now)
         except TimeoutError as error:
             raise UnavailableError("late", step="watch", peer="fake") from error
         self._admit("watch")
@@ -94,7 +95,7 @@
             raise UnavailableError("refused", step=call, peer="fake")
 
     async def _carry(self, listing: Listing) -> Listing:
-        await asyncio.sleep(self.answers_in)
+        await asyncio.sleep(self.latency_s)
         left = sum(len(bytes(stored.value)) + 100 for stored in listing.objects)
         while left > 0:
             await self._wire.carry(min(left, SEGMENT_BYTES))
@@ -102,46 +103,46 @@
         return listing
 
 
-class Lateness:
-    """How long hosts lack a version that the store has confirmed, at any moment."""
+class LagRecorder:
+    """Records how long each host lags behind the versions that the store confirmed."""
 
     def __init__(self) -> None:
-        self.worst_by_host: dict[str, float] = {}
+        self.max_lag_by_host: dict[str, float] = {}
         self._confirmed_at_by_version: dict[int, float] = {}
-        self._held_by_host: dict[str, int] = {}
+        self._version_by_host: dict[str, int] = {}
 
     def confirm(self, version: int) -> None:
-        """Take in that the store has confirmed a version, the next one."""
+        """Record that the store has confirmed the next version."""
         self._confirmed_at_by_version[version] = asyncio.get_running_loop().time()
 
-    def take(self, host_id: str, version: int) -> None:
-        """Take in that a version is in force on a host from now on."""
-        self._note(host_id)
-        self._held_by_host[host_id] = version
+    def record_applied(self, host_id: str, version: int) -> None:
+        """Record that a version is in force on a host from now on."""
+        self._update_lag(host_id)
+        self._version_by_host[host_id] = version
 
-    def leave(self, host_id: str) -> None:
-        """Take in that a host is gone."""
-        self._note(host_id)
-        self._held_by_host.pop(host_id, None)
+    def record_left(self, host_id: str) -> None:
+        """Record that a host has left."""
+        self._update_lag(host_id)
+        self._version_by_host.pop(host_id, None)
 
-    def worst(self) -> float:
-        """Return the longest time for which any host has lacked a version, in s."""
-        for host_id in self._held_by_host:
-            self._note(host_id)
-        return max(self.worst_by_host.values(), default=0.0)
+    def max_lag(self) -> float:
+        """Return the longest lag of any host, in seconds."""
+        for host_id in self._version_by_host:
+            self._update_lag(host_id)
+        return max(self.max_lag_by_host.values(), default=0.0)
 
-    def _note(self, host_id: str) -> None:
-        """Note how late a host is at the end of a time in which it had one version."""
+    def _update_lag(self, host_id: str) -> None:
+        """Update a host's longest lag from the version that it has had until now."""
         now = asyncio.get_running_loop().time()
-        lacked = self._held_by_host.get(host_id, 0) + 1
-        since = self._confirmed_at_by_version.get(lacked, now)
-        if host_id in self._held_by_host:
-            late = max(now - since, self.worst_by_host.get(host_id, 0.0))
-            self.worst_by_host[host_id] = late
+        missing = self._version_by_host.get(host_id, 0) + 1
+        since = self._confirmed_at_by_version.get(missing, now)
+        if host_id in self._version_by_host:
+            lag = max(now - since, self.max_lag_by_host.get(host_id, 0.0))
+            self.max_lag_by_host[host_id] = lag
 
 
 class Fleet:
-    """Hosts of one failure domain, or of more, before one store."""
+    """Hosts of one or several failure domains that follow one store."""
 
     def __init__(
         self,
@@ -158,12 +159,12 @@
         self.pause = pause
         self.max_retry_delay = max_retry_delay
         self.out_of_date_after = out_of_date_after
-        self.lateness = Lateness()
+        self.lag_recorder = LagRecorder()
         self.platform = FakePlatform()
         self.network = RatedNetwork(bits_per_second=bits_per_second)
         self.clock = VirtualClock()
         self.values_by_host: dict[str, bytes] = {}
-        self.took_at_by_host: dict[str, float] = {}
+        self.applied_at_by_host: dict[str, float] = {}
         self.shares_by_host: dict[str, SharedWatch] = {}
         self.stores_by_host: dict[str, FakePlatform | StoreLink] = {}
         self.tasks_by_host: dict[str, asyncio.Task] = {}
@@ -198,34 +199,34 @@
         self.tasks_by_host[host_id] = asyncio.create_task(share.run())
 
     def start_linked(self, row: MemberRow, *, bits_per_second: float | None = None):
-        """Start a host whose calls to the store take time and room on its link."""
+        """Start a host whose calls to the store have latency and use its rated link."""
         peers = self.network.add(row.host_id, bits_per_second=bits_per_second)
         self.start(row, platform=StoreLink(store=self.platform, wire=peers.down))
 
     async def stop(self, host_id: str) -> None:
-        """End a host; the others have heard that it stops."""
-        self.lateness.leave(host_id)
+        """Stop a host, and remove it from the other hosts' member rows."""
+        self.lag_recorder.record_left(host_id)
         self.rows[:] = [row for row in self.rows if row.host_id != host_id]
         self.network.cut.add(host_id)
         self.tasks_by_host.pop(host_id).cancel()
         await self.shares_by_host.pop(host_id).stop()
 
     async def change(self, value: bytes) -> None:
-        """Change the configuration, and note when the store has confirmed it."""
+        """Change the configuration, and record the time of the store's confirmation."""
         version = self.platform.version
         await self.platform.update("config/main", value, version=version)
-        self.lateness.confirm(version + 1)
+        self.lag_recorder.confirm(version + 1)
 
     async def storm(
         self, values: Sequence[bytes], *, every: float, seconds: float
     ) -> None:
-        """Change the configuration again and again, to one value after the other."""
+        """Change the configuration every given seconds, cycling through the values."""
         for number in range(round(seconds / every)):
             await self.change(values[number % len(values)])
             await asyncio.sleep(every)
 
     async def gossip(self) -> None:
-        """Tell all hosts every second which versions the others know, for ever."""
+        """Update the versions in the member rows every second, until cancelled."""
         while True:
             await asyncio.sleep(1)
             self.rows[:] = [self._with_version(row) for row in self.rows]
@@ -237,7 +238,7 @@
         return msgspec.structs.replace(row, versions_by_prefix=share.newest())
 
     def longest_wait(self, without: Collection[str] = ()) -> float:
-        """Return what a message waited, or would have waited, on any link, in s."""
+        """Return the longest backlog on any link, in seconds."""
         return max(
             wire.longest_backlog
             for host_id, peers in self.network.peers_by_id.items()
@@ -249,8 +250,8 @@
         def apply(changed: Sequence[StoredObject]) -> None:
             for stored in changed:
                 self.values_by_host[host_id] = bytes(stored.value)
-                self.took_at_by_host[host_id] = asyncio.get_running_loop().time()
-                self.lateness.take(host_id, stored.version)
+                self.applied_at_by_host[host_id] = asyncio.get_running_loop().time()
+                self.lag_recorder.record_applied(host_id, stored.version)
 
         return apply
 
@@ -270,7 +271,7 @@
         )
 
     async def wait_for(self, value: bytes, *, hosts: int) -> float:
-        """Return once so many hosts have a value, and the time."""
+        """Wait until a number of hosts have a value, and return the loop time."""
         async with asyncio.timeout(60):
             while list(self.values_by_host.values()).count(value) < hosts:
                 await asyncio.sleep(0.01)
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""The configuration in force: it only moves forward."""
+"""The catalog never returns to an older configuration."""
 
 import asyncio
 import itertools
@@ -29,27 +29,27 @@
 
 
 class TestCatalog:
-    def test_an_older_listing_is_not_taken(self):
+    def test_an_older_listing_is_not_applied(self):
         catalog = Catalog()
         assert catalog.replace(listing(5, stored("a", 5)))
         assert not catalog.replace(listing(4))
         assert "a" in catalog.workspaces_by_id
 
-    def test_a_late_change_does_not_bring_anything_back(self):
+    def test_a_late_change_does_not_restore_a_removed_object(self):
         catalog = Catalog()
         catalog.advance(listing(3, stored("a", 3, removed=True)))
         catalog.advance(listing(2, stored("a", 2)))
         assert "a" not in catalog.workspaces_by_id
         assert catalog.version == 3
 
-    def test_a_changed_token_takes_the_place_of_the_old_one(self):
+    def test_a_changed_token_replaces_the_old_one(self):
         catalog = Catalog()
         catalog.advance(listing(1, stored("a", 1, "old")))
         catalog.advance(listing(2, stored("a", 2, "new")))
         assert catalog.find_workspace(digest_token("old")) is None
         assert catalog.find_workspace(digest_token("new")).id == "a"
 
-    def test_a_broken_object_leaves_the_last_good_one(self):
+    def test_a_malformed_object_keeps_the_last_valid_one(self):
         catalog = Catalog()
         catalog.advance(listing(1, stored("a", 1)))
         broken = StoredObject(
@@ -58,7 +58,7 @@
         catalog.advance(listing(2, broken))
         assert catalog.workspaces_by_id["a"].id == "a"
 
-    def test_a_new_host_takes_all_from_a_peer(self):
+    def test_a_new_host_receives_everything_from_a_peer(self):
         full, fresh = Catalog(), Catalog()
         full.replace(listing(7, stored("a", 3), stored("b", 7)))
         fresh.advance(full.changes_after(0))
@@ -67,7 +67,7 @@
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.permutations(range(5)), st.sets(st.integers(0, 4)))
-    def test_any_order_and_repeats_end_at_the_newest(self, order, repeats):
+    def test_any_order_with_repeats_ends_at_the_newest_state(self, order, repeats):
         history = [
             stored("a", 1, "1"),
             stored("b", 2, "2"),
@@ -85,7 +85,7 @@
         assert tokens == {digest_token("4"), digest_token("5")}
 
     @pytest.mark.parametrize("version", [1, 9])
-    def test_what_a_listing_lacks_was_removed(self, version):
+    def test_objects_missing_from_a_newer_listing_are_removed(self, version):
         catalog = Catalog()
         catalog.advance(listing(1, stored("a", 1)))
         catalog.replace(listing(version, stored("b", version)))
@@ -130,7 +130,7 @@
         key = f"config/workspaces/{name}"
         await platform.create(key, msgspec.json.encode(workspace))
 
-    def test_after_an_outage_the_watch_goes_on_without_a_listing(self):
+    def test_after_an_outage_the_watch_resumes_without_a_listing(self):
         async def work(platform, keeper):
             await self.change(platform, "a")
             await asyncio.sleep(1)
@@ -146,7 +146,7 @@
 
         self.run_keeper(work)
 
-    def test_a_watch_too_old_lists_after_a_pause_that_grows_with_the_hosts(self):
+    def test_after_a_too_old_watch_the_relist_delay_grows_with_the_hosts(self):
         async def work(platform, keeper):
             platform.version += 5
             platform.oldest_change = platform.version
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: at most one holder for each key, whatever the platform loses."""
+"""At most one claim holds each key, whichever calls to the platform are lost."""
 
 import asyncio
 from datetime import timedelta
@@ -33,31 +33,31 @@
 
 
 class TestClaimLog:
-    def test_the_first_claim_holds(self):
+    def test_the_first_claim_holds_the_key(self):
         log = ClaimLog(retention=RETENTION)
         first, second = make_claim("k"), make_claim("k")
         log.apply(1, Segment(nonce=b"1", claims=(first, second)), timedelta(0))
-        assert log.judge(first) is ClaimVerdict.GRANTED
-        assert log.judge(second) is ClaimVerdict.HELD
-        assert log.judge(make_claim("k", body=b"x")) is ClaimVerdict.MISMATCH
-        assert log.judge(make_claim("other")) is None
+        assert log.find_verdict(first) is ClaimVerdict.GRANTED
+        assert log.find_verdict(second) is ClaimVerdict.HELD
+        assert log.find_verdict(make_claim("k", body=b"x")) is ClaimVerdict.MISMATCH
+        assert log.find_verdict(make_claim("other")) is None
 
-    def test_a_void_counts_also_before_its_claim(self):
+    def test_a_void_also_applies_to_a_later_claim(self):
         log = ClaimLog(retention=RETENTION)
         claim = make_claim("k")
         void = Void(digest=claim.digest, nonce=claim.nonce)
         log.apply(1, Segment(nonce=b"1", voids=(void,)), timedelta(0))
         log.apply(2, Segment(nonce=b"2", claims=(claim,)), timedelta(0))
-        assert log.judge(claim) is None
+        assert log.find_verdict(claim) is None
 
-    def test_a_later_claim_takes_the_place_of_a_voided_one(self):
+    def test_the_next_claim_holds_the_key_after_a_void(self):
         log = ClaimLog(retention=RETENTION)
-        ghost, sent = make_claim("k"), make_claim("k")
-        log.apply(1, Segment(nonce=b"1", claims=(ghost,)), timedelta(0))
+        voided, sent = make_claim("k"), make_claim("k")
+        log.apply(1, Segment(nonce=b"1", claims=(voided,)), timedelta(0))
         log.apply(2, Segment(nonce=b"2", claims=(sent,)), timedelta(0))
-        void = Void(digest=ghost.digest, nonce=ghost.nonce)
+        void = Void(digest=voided.digest, nonce=voided.nonce)
         log.apply(3, Segment(nonce=b"3", voids=(void,)), timedelta(0))
-        assert log.judge(make_claim("k")) is ClaimVerdict.HELD
+        assert log.find_verdict(make_claim("k")) is ClaimVerdict.HELD
 
     def test_claims_are_kept_for_the_retention_and_the_last_segment_stays(self):
         log = ClaimLog(retention=RETENTION)
@@ -66,10 +66,10 @@
         log.apply(2, Segment(nonce=b"2", claims=(new,)), timedelta(minutes=1))
         assert log.expire(RETENTION - timedelta(seconds=1)) == []
         assert log.expire(RETENTION + timedelta(minutes=5)) == [1]
-        assert log.judge(old) is None
-        assert log.judge(new) is ClaimVerdict.GRANTED
+        assert log.find_verdict(old) is None
+        assert log.find_verdict(new) is ClaimVerdict.GRANTED
 
-    def test_a_segment_reads_back_as_written(self):
+    def test_a_segment_is_decoded_as_encoded(self):
         claim = make_claim("k", holder="entry-1", body=b"x")
         void = Void(digest=b"d" * 16, nonce=b"n" * 8)
         segment = Segment(nonce=b"12345678", claims=(claim,), voids=(void,))
@@ -86,7 +86,7 @@
         return [result.verdict for result in asyncio.run(run())]
 
     @pytest.mark.parametrize("fault", ["lost", "late", "down"])
-    def test_a_claim_whose_answer_was_lost_is_ones_own(self, fault):
+    def test_a_claim_whose_answer_was_lost_is_granted(self, fault):
         platform, clock = FakePlatform(), ManualClock()
         claim = make_claim("k")
         verdicts = self.run_claims(platform, clock, claim, faults=["ok", fault])
@@ -94,7 +94,7 @@
         retry = self.run_claims(platform, clock, make_claim("k", holder="b"))
         assert retry == [ClaimVerdict.HELD]
 
-    def test_an_outage_is_unavailable_and_its_late_write_grants_nothing(self):
+    def test_a_claim_unavailable_in_an_outage_still_holds_by_its_late_write(self):
         platform, clock = FakePlatform(), ManualClock()
         faults = ["ok"] + ["late"] * 50
         verdicts = self.run_claims(platform, clock, make_claim("k"), faults=faults)
@@ -110,35 +110,42 @@
         assert set(verdicts) == {ClaimVerdict.GRANTED}
         assert platform.calls.count("create") == 1
 
-    def claim_after_sleep(self, log: ClaimLog) -> ClaimVerdict:
-        """Let a writer sleep past the retention, then claim a key that is held."""
+    def claim_after_suspension(self, log: ClaimLog) -> ClaimVerdict:
+        """Suspend a writer past the retention, then claim a key that another holds."""
 
         async def run() -> ClaimVerdict:
             platform, clock = FakePlatform(), ManualClock()
-            sleeper, other = make_writer(platform, clock), make_writer(platform, clock)
-            sleeper.log = log
-            await sleeper.claim(make_claim("k0"))
+            suspended, other = (
+                make_writer(platform, clock),
+                make_writer(platform, clock),
+            )
+            suspended.log = log
+            await suspended.claim(make_claim("k0"))
             for number in range(3):
                 await other.claim(make_claim(f"k{number + 1}"))
                 clock.advance(RETENTION * 0.6)
                 await other.claim(make_claim("held" if number == 2 else f"x{number}"))
                 await other.expire(remove=True)
-            result = await sleeper.claim(make_claim("held"))
+            result = await suspended.claim(make_claim("held"))
             return result.verdict
 
         return asyncio.run(run())
 
-    def test_a_writer_that_slept_past_the_retention_lists_again(self):
+    def test_a_writer_suspended_past_the_retention_lists_again(self):
         log = ClaimLog(retention=RETENTION)
-        assert self.claim_after_sleep(log) is ClaimVerdict.HELD
+        assert self.claim_after_suspension(log) is ClaimVerdict.HELD
 
-    def test_without_listing_again_it_would_take_a_held_key(self):
-        log = HastyLog(retention=RETENTION)
-        assert self.claim_after_sleep(log) is ClaimVerdict.GRANTED
+    def test_without_listing_again_it_would_be_granted_a_held_key(self):
+        log = AlwaysFreshLog(retention=RETENTION)
+        assert self.claim_after_suspension(log) is ClaimVerdict.GRANTED
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Hosts race for keys over a platform that loses, delays and refuses."""
+    """Hosts compete for keys while the platform loses, delays or refuses calls.
+
+    A holder sends its request only within SEND_WINDOW of its claim, else it voids the
+    claim. No key may be sent twice within the retention.
+    """
 
     writer_class = ShardWriter
 
@@ -217,23 +224,23 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-class ForgetfulLog(ClaimLog):
-    """Broken: takes a stranger's claim for its own."""
+class AllGrantingLog(ClaimLog):
+    """Faulty: reports a key held by another claim as granted."""
 
-    def judge(self, claim):
-        verdict = super().judge(claim)
+    def find_verdict(self, claim):
+        verdict = super().find_verdict(claim)
         return ClaimVerdict.GRANTED if verdict is ClaimVerdict.HELD else verdict
 
 
-class HastyLog(ClaimLog):
-    """Broken: appends on a view that may be long out of date."""
+class AlwaysFreshLog(ClaimLog):
+    """Faulty: counts as fresh however long ago the last sync was."""
 
     def is_fresh(self, now):
         return self.synced_at is not None
 
 
-class BlindWriter(ShardWriter):
-    """Broken: believes that any answer but a conflict means success."""
+class NoReadBackWriter(ShardWriter):
+    """Faulty: treats a conflict as success without reading the segment back."""
 
     async def _read_back(self, number, segment):
         self.log.apply(number, segment, self._clock.monotonic())
@@ -252,19 +259,19 @@
     def test_no_key_is_sent_twice(self):
         self.run_machine(ClaimMachine)
 
-    def test_the_machine_catches_a_log_that_takes_all_claims_for_its_own(self):
+    def test_the_machine_detects_a_log_that_grants_held_keys(self):
         class Broken(ClaimMachine):
             def make_writer(self):
                 writer = super().make_writer()
-                writer.log = ForgetfulLog(retention=RETENTION)
+                writer.log = AllGrantingLog(retention=RETENTION)
                 return writer
 
         with pytest.raises(AssertionError):
             self.run_machine(Broken)
 
-    def test_the_machine_catches_a_writer_that_does_not_read_back(self):
+    def test_the_machine_detects_a_writer_that_does_not_read_back(self):
         class Broken(ClaimMachine):
-            writer_class = BlindWriter
+            writer_class = NoReadBackWriter
 
         with pytest.raises(AssertionError):
             self.run_machine(Broken)
--- a/tests/test_gathered_changes.py
+++ b/tests/test_gathered_changes.py
@@ -1,8 +1,8 @@
-"""Changes of one object that come in one answer of the platform.
+"""Several changes of one object in one answer of the platform.
 
-The pattern: an operator changes the configuration every 200 ms while hosts that watch
-gather changes for 375 ms, so an answer holds one object twice or three times. Nobody
-holds any but its newest state, so only that one is asked for.
+An operator changes the configuration every 200 ms while watchers gather changes for
+375 ms, so that an answer contains the same object two or three times. Hosts hold only
+its newest state, so a request for an older one would fail.
 """
 
 import asyncio
@@ -14,25 +14,25 @@
 from tests.test_large_changes import THIN, Fleet, make_config
 
 HOSTS = 18
-#: What a change takes to all hosts of a domain without a second word of it, in
-#: seconds: beats come every 0.5 s.
+#: Maximum time in seconds until all hosts of a domain have a change. It is below the
+#: heartbeat interval of 0.5 s, so that a host must not depend on the next heartbeat.
 LEARNED_WITHIN = 0.25
 
 
 class TestGatheredChanges:
     @pytest.fixture
     def failures(self, monkeypatch) -> list[str]:
-        """What hosts could not learn."""
+        """Return the reasons why hosts could not fetch a change."""
         found: list[str] = []
 
-        def note(part: str, sentence: str, **fields: object) -> None:
+        def record(part: str, sentence: str, **fields: object) -> None:
             if sentence == "Not learned.":
                 found.append(str(fields["why"]))
 
-        monkeypatch.setattr(view_learner, "log_event", note)
+        monkeypatch.setattr(view_learner, "log_event", record)
         return found
 
-    def test_only_the_newest_of_two_states_is_asked_for(self, failures):
+    def test_only_the_newest_of_two_states_is_requested(self, failures):
         async def test() -> None:
             fleet = Fleet(hosts=HOSTS, bits_per_second=THIN)
             await fleet.platform.create("config/main", make_config(7, routes=40))
--- a/tests/test_large_changes.py
+++ b/tests/test_large_changes.py
@@ -1,11 +1,11 @@
-"""Large changes of the configuration among many hosts on thin links.
-
-The pattern: an operator adds some two thousand routes at once, or many hosts start
-together, in failure domains of 42 and 55 hosts (the users' largest today, and at their
-target) whose links carry 10 and 20 Mbit/s (the users' thinnest). A change must be in
-force within 4 s of the platform's confirmation, and a caller's event must not wait for
-it for longer than the 200 ms in which it is to be passed on. The object has the size
-and the look of a configuration of 1,980 routes: 527 KB.
+"""Large configuration changes among many hosts on slow links.
+
+An operator adds about two thousand routes at once, or many hosts start together, in
+failure domains of 42 and 55 hosts (the largest in use, and the largest planned) with
+links of 10 and 20 Mbit/s (the slowest in use). A change must be in force within 4 s of
+the platform's confirmation, and it must not delay a caller's event by more than the
+200 ms within which events are forwarded. The object has the size and structure of a
+configuration of 1,980 routes: 527 KB.
 """
 
 import asyncio
@@ -15,10 +15,10 @@
 
 from passtally.messages import MemberRow
 from passtally.object_transfer import (
-    KEPT_STATES,
+    MAX_PACKED_VERSIONS,
+    MAX_SERVED_HOSTS,
     PART_BYTES,
-    SERVED_AT_ONCE,
-    SERVED_FOR,
+    SERVE_TIMEOUT,
     ServedHosts,
     pack,
     unpack,
@@ -35,7 +35,7 @@
 
 class TestChangeInLargeDomains:
     @pytest.mark.parametrize(("hosts", "rate"), [(42, USUAL), (42, THIN), (55, THIN)])
-    def test_it_is_in_force_in_time_and_callers_hardly_wait(self, hosts, rate):
+    def test_it_is_in_force_in_time_and_callers_are_hardly_delayed(self, hosts, rate):
         async def test() -> None:
             fleet = Fleet(hosts=hosts, bits_per_second=rate)
             first, second = make_config(7, routes=20), make_config(9)
@@ -52,7 +52,7 @@
             assert took < APPLY_WITHIN / 2
             waits = [peers.up.longest_wait for peers in network_of(fleet)]
             assert max(waits) < PASS_WITHIN / 2
-            # From many hosts: none sends half of the copies, which are packed.
+            # The load is spread over the hosts: none sends half of the copies.
             copies = max(peers.up.bytes for peers in network_of(fleet)) / len(
                 pack(second)
             )
@@ -60,7 +60,7 @@
 
         run_virtually(test())
 
-    def test_a_series_of_large_changes_ends_at_the_last_one(self):
+    def test_after_a_series_of_large_changes_the_last_is_in_force(self):
         async def test() -> None:
             fleet = Fleet(hosts=42, bits_per_second=THIN)
             await fleet.platform.create("config/main", make_config(7, routes=20))
@@ -79,7 +79,7 @@
 
         run_virtually(test())
 
-    def test_it_goes_on_where_it_stopped_when_a_host_that_hands_it_on_is_cut(self):
+    def test_transfers_complete_in_time_when_a_serving_host_is_cut_off(self):
         async def test() -> None:
             fleet = Fleet(hosts=42, bits_per_second=THIN)
             await fleet.platform.create("config/main", make_config(7, routes=20))
@@ -126,7 +126,7 @@
 
         run_virtually(test())
 
-    def test_it_tells_for_how_long(self):
+    def test_a_host_knows_for_how_long_it_is_behind(self):
         async def test() -> None:
             fleet = Fleet(hosts=10, bits_per_second=THIN / 10)
             await fleet.platform.create("config/main", make_config(7, routes=20))
@@ -152,7 +152,7 @@
 
 
 class TestWithoutThePlatform:
-    def test_a_quarter_of_a_domain_joins_while_it_is_away(self):
+    def test_a_quarter_of_a_domain_starts_during_an_outage(self):
         async def test() -> None:
             fleet = Fleet(hosts=42, bits_per_second=THIN)
             value = make_config(9)
@@ -170,15 +170,15 @@
 
         run_virtually(test())
 
-    def test_few_copies_cross_into_a_domain_that_does_not_reach_it(self):
+    def test_few_copies_are_sent_to_a_domain_that_cannot_reach_it(self):
         async def test() -> None:
             fleet = Fleet(hosts=20, bits_per_second=THIN, domains=("a", "b"))
-            away = FakePlatform()
-            away.is_down = True
+            unreachable = FakePlatform()
+            unreachable.is_down = True
             first, second = make_config(7, routes=20), make_config(9)
             await fleet.platform.create("config/main", first)
             for row in fleet.rows:
-                reached = fleet.platform if row.failure_domain == "a" else away
+                reached = fleet.platform if row.failure_domain == "a" else unreachable
                 fleet.start(row, platform=reached)
             fleet.rows[:] = with_versions(fleet, 1)
             await fleet.wait_for(first, hosts=40)
@@ -195,36 +195,36 @@
 
 
 class TestServedHosts:
-    def test_a_few_are_served_at_once_and_the_others_later(self):
+    def test_a_few_hosts_are_served_at_once_and_the_others_later(self):
         served = ServedHosts()
         now = timedelta(0)
         admitted = [name for name in "abcdef" if served.admit(name, now)]
-        assert admitted == list("abcdef"[:SERVED_AT_ONCE])
+        assert admitted == list("abcdef"[:MAX_SERVED_HOSTS])
         assert served.admit("a", now)
-        served.leave("a")
+        served.release("a")
         assert served.admit("f", now)
         assert not served.admit("e", now)
 
-    def test_one_that_asks_no_more_makes_room(self):
+    def test_a_host_that_stops_asking_loses_its_slot(self):
         served = ServedHosts()
         for name in "abc":
             served.admit(name, timedelta(0))
-        assert served.admit("d", 2 * SERVED_FOR)
+        assert served.admit("d", 2 * SERVE_TIMEOUT)
 
 
 class TestPacking:
-    def test_a_large_configuration_packs_to_a_few_parts(self):
+    def test_a_large_configuration_is_compressed_to_a_few_parts(self):
         value = make_config(9)
         packed = pack(value)
         assert unpack(packed) == value
         assert len(packed) < 5 * PART_BYTES < len(value)
 
-    def test_bytes_that_are_no_packed_object_are_told(self):
+    def test_bytes_that_are_not_compressed_raise_an_error(self):
         with pytest.raises(ValueError):
             unpack(b"no packed object")
 
-    def test_more_than_one_state_is_kept(self):
-        assert KEPT_STATES > 1
+    def test_more_than_one_version_is_kept(self):
+        assert MAX_PACKED_VERSIONS > 1
 
 
 def network_of(fleet: Fleet):
@@ -238,7 +238,7 @@
 
 
 def with_versions(fleet: Fleet, version: int, *, domain: str = "a") -> list[MemberRow]:
-    """Return the rows as gossip would bring them once a domain knows a version."""
+    """Return the member rows once gossip reports a version for a domain's hosts."""
     return [
         MemberRow(
             host_id=row.host_id,
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease: one holder at a time, fences that only go up, no clock shared."""
+"""A lease has one holder at a time and increasing fencing numbers."""
 
 import asyncio
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Hosts hold, lose and take over a lease over a platform that loses answers."""
+    """Hosts acquire, lose and take over a lease while the platform loses answers."""
 
     lease_class = Lease
 
@@ -45,7 +45,7 @@
         host=st.sampled_from(HOSTS),
         faults=st.lists(st.sampled_from(["ok", "ok", "lost", "down"]), max_size=3),
     )
-    def look(self, host, faults):
+    def hold(self, host, faults):
         self.platform.faults.extend(faults)
         lease = self.leases[host]
         if self.loop.run_until_complete(lease.try_hold()):
@@ -69,22 +69,22 @@
         assert sum(lease.is_held for lease in self.leases.values()) <= 1
 
     @invariant()
-    def each_fence_has_one_holder_and_they_go_up(self):
+    def each_fence_has_one_holder_and_fences_increase(self):
         numbers = [fence for fence, _ in self.fences]
         assert numbers == sorted(numbers)
         assert len(dict(self.fences)) == len(set(self.fences))
 
 
 class EagerLease(Lease):
-    """Broken: takes over without waiting."""
+    """Faulty: takes over without waiting for the lease to expire."""
 
-    async def _look(self):
-        await super()._look()
+    async def _may_write(self):
+        await super()._may_write()
         return True
 
 
 class LongLease(Lease):
-    """Broken: believes that it holds for longer than others wait."""
+    """Faulty: acts as the holder for longer than other hosts wait."""
 
     async def _write(self, record):
         await super()._write(record)
@@ -108,6 +108,6 @@
         self.run_machine(Lease)
 
     @pytest.mark.parametrize("broken", [EagerLease, LongLease])
-    def test_the_machine_catches_a_broken_lease(self, broken):
+    def test_the_machine_detects_a_faulty_lease(self, broken):
         with pytest.raises(AssertionError):
             self.run_machine(broken)
--- a/tests/test_many_objects.py
+++ b/tests/test_many_objects.py
@@ -1,8 +1,8 @@
-"""Changes of hundreds of small objects at once, over links of bounded rate.
+"""Changes of hundreds of small objects at once, over links of limited rate.
 
-Each entry of an endpoint is small, and all of them together are as large as a large
-configuration: when the store is back after an outage in which they lapsed, and when
-hosts start while it is away.
+Each endpoint's entry is small, but all entries together are as large as a large
+configuration. They are sent at once when the store recovers from an outage in which
+they expired, and when hosts start while the store is unreachable.
 """
 
 import asyncio
@@ -48,7 +48,7 @@
 
 
 async def start_fleet(rng: random.Random) -> Fleet:
-    """Start a domain but for some hosts, and let it settle."""
+    """Start all but STARTING hosts of a domain, and wait until they are stable."""
     fleet = Fleet(
         hosts=HOSTS,
         bits_per_second=RATE,
@@ -70,7 +70,7 @@
 
 
 class TestManySmallObjects:
-    def test_callers_hardly_wait_when_all_entries_change_at_once(self):
+    def test_callers_are_hardly_delayed_when_all_entries_change_at_once(self):
         async def test() -> None:
             rng = random.Random(1)
             fleet = await start_fleet(rng)
@@ -86,7 +86,7 @@
 
         run_virtually(test())
 
-    def test_callers_hardly_wait_when_a_quarter_starts_without_the_store(self):
+    def test_callers_are_hardly_delayed_when_hosts_start_without_the_store(self):
         async def test() -> None:
             fleet = await start_fleet(random.Random(1))
             for store in fleet.stores_by_host.values():
--- a/tests/test_return_to_platform.py
+++ b/tests/test_return_to_platform.py
@@ -1,8 +1,9 @@
-"""A host that reaches the platform again after others told it of changes.
+"""A watcher that reconnects to the platform after it received changes from peers.
 
-The pattern: the platform turns hosts away for 9 s while the configuration changes every
-200 ms. A host that learned each change from others must not ask for them again: 45
-states of 14 KB fill a link of 5 Mbit/s for a second, in which the next change is late.
+The platform rejects a watcher for 9 s while the configuration changes every 200 ms. The
+watcher receives each change from other hosts, and must not request these changes from
+the platform again: 45 states of 14 KB fill a 5 Mbit/s link for a second, which delays
+the next change.
 """
 
 import asyncio
@@ -15,17 +16,18 @@
 from tests.test_large_changes import THIN, Fleet, make_config
 
 HOSTS = 18
-GAP_S = 0.2
-AWAY_S = 9.0
-#: The states of the last 375 ms, in which changes are gathered, and of one more tick.
-MOST_STATES = 4
+INTERVAL_S = 0.2
+OUTAGE_S = 9.0
+#: Maximum number of states that the platform may send again: those of the last 375 ms,
+#: the time over which changes are gathered, and one more.
+MAX_STATES = 4
 
 
-class Door:
-    """One host's way to a platform, which may be shut; counts the states it brings."""
+class PlatformLink:
+    """One host's link to a platform, which can be closed; counts received states."""
 
     def __init__(self, platform: FakePlatform) -> None:
-        self.is_shut = False
+        self.is_closed = False
         self.states = 0
         self._platform = platform
 
@@ -40,16 +42,16 @@
         return self._count(changes)
 
     def _check(self, step: str) -> None:
-        if self.is_shut:
-            raise UnavailableError("turned away", step=step, peer="door")
+        if self.is_closed:
+            raise UnavailableError("rejected", step=step, peer="link")
 
     def _count(self, listing: Listing) -> Listing:
         self.states += len(listing.objects)
         return listing
 
 
-class TestReturnToThePlatform:
-    def test_a_watcher_does_not_ask_for_what_others_told_it(self):
+class TestReconnectToThePlatform:
+    def test_a_watcher_does_not_request_changes_received_from_peers(self):
         async def test() -> None:
             fleet = Fleet(
                 hosts=HOSTS,
@@ -57,20 +59,20 @@
                 out_of_date_after=OUT_OF_DATE_AFTER,
             )
             await fleet.platform.create("config/main", make_config(7, routes=40))
-            doors = {row.host_id: Door(fleet.platform) for row in fleet.rows}
+            links = {row.host_id: PlatformLink(fleet.platform) for row in fleet.rows}
             for row in fleet.rows:
-                fleet.start(row, platform=doors[row.host_id])
+                fleet.start(row, platform=links[row.host_id])
             await asyncio.sleep(8)
             watcher = fleet.watchers[0]
             storm = asyncio.create_task(change_often(fleet))
-            doors[watcher].is_shut = True
-            await asyncio.sleep(AWAY_S)
-            doors[watcher].is_shut = False
-            doors[watcher].states = 0
+            links[watcher].is_closed = True
+            await asyncio.sleep(OUTAGE_S)
+            links[watcher].is_closed = False
+            links[watcher].states = 0
             share = fleet.shares_by_host[watcher]
             while not share.is_up:
                 await asyncio.sleep(0.01)
-            assert doors[watcher].states <= MOST_STATES
+            assert links[watcher].states <= MAX_STATES
             storm.cancel()
             await asyncio.sleep(2)
             newest = bytes(fleet.platform.objects_by_key["config/main"].value)
@@ -86,4 +88,4 @@
         value = make_config(version, routes=40)
         await fleet.platform.update("config/main", value, version=stored.version)
         version += 1
-        await asyncio.sleep(GAP_S)
+        await asyncio.sleep(INTERVAL_S)
--- a/tests/test_skipped_changes.py
+++ b/tests/test_skipped_changes.py
@@ -1,4 +1,8 @@
-"""Changes that a host never hears of, since what it learned from others hid them."""
+"""Changes and watch states that a host would miss or misreport.
+
+A host that receives objects from other hosts may take its view for complete, and then
+miss a removal; or it may report to its peers that it watches when it does not.
+"""
 
 import asyncio
 import random
@@ -33,7 +37,7 @@
     return set(view.mirror.current_versions())
 
 
-def start_cut_fleet() -> Fleet:
+def make_fleet() -> Fleet:
     return Fleet(
         hosts=2,
         bits_per_second=RATE,
@@ -43,14 +47,14 @@
 
 
 class TestRemovals:
-    """An object is removed while the store turns one host away; another one starts.
+    """An object is removed while the store refuses one host and a second one starts.
 
-    That one never saw the object, so it can't tell of its removal.
+    The second host never saw the object, so it cannot report the removal to the first.
     """
 
-    def test_a_host_that_learned_from_one_that_started_later_hears_of_it(self):
+    def test_a_host_updated_by_one_that_started_later_learns_of_it(self):
         async def test() -> None:
-            fleet = start_cut_fleet()
+            fleet = make_fleet()
             await fleet.platform.create(REMOVED_KEY, b"1")
             await fleet.platform.create(KEPT_KEY, b"1")
             first, second = fleet.rows
@@ -75,11 +79,11 @@
         run_virtually(test())
 
 
-class OnePeer:
-    """Stands in for the links: one other host, which answers when it is let."""
+class SinglePeer:
+    """Replaces the links: one other host, which answers once ``may_answer`` is set."""
 
     def __init__(self) -> None:
-        self.told: list[Message] = []
+        self.sent: list[Message] = []
         self.may_answer = asyncio.Event()
         self.reply: Message | None = None
 
@@ -90,7 +94,7 @@
         pass
 
     async def send_message(self, host_ids: Sequence[str], message: Message) -> set[str]:
-        self.told.append(message)
+        self.sent.append(message)
         return set(host_ids)
 
     async def ask(self, host_id: str, message: Message, **_) -> Message:
@@ -98,12 +102,12 @@
         return self.reply
 
 
-class One:
-    """One host's share, beside one other host of its domain."""
+class SingleHost:
+    """One host's shared watch, with one other host in its failure domain."""
 
     def __init__(self, *, apply=lambda changed: None) -> None:
         self.platform = FakePlatform()
-        self.peers = OnePeer()
+        self.peers = SinglePeer()
         clock = VirtualClock()
         rows = [
             MemberRow(
@@ -137,12 +141,12 @@
         )
 
 
-class TestBeats:
-    def test_a_host_whose_watch_came_up_while_it_learned_says_that_it_watches(self):
+class TestHeartbeats:
+    def test_a_host_whose_watch_starts_during_a_transfer_reports_that_it_watches(self):
         async def test() -> None:
-            one = One()
-            one.platform.is_down = True
-            work = asyncio.create_task(one.share.run())
+            local = SingleHost()
+            local.platform.is_down = True
+            work = asyncio.create_task(local.share.run())
             await asyncio.sleep(2)
             stored = StoredObject(key="config/main", version=5, value=b'"x"')
             news = ViewChanges(
@@ -154,33 +158,35 @@
             )
 
             async def fetch(ref: ObjectRef, holders) -> StoredObject:
-                await one.peers.may_answer.wait()
+                await local.peers.may_answer.wait()
                 return stored
 
-            one.share._learner._transfer.fetch = fetch
-            one.share._learner.receive_changes(news)
-            one.platform.is_down = False
-            one.platform.version = 5
-            while not one.share.is_up:
+            local.share._learner._transfer.fetch = fetch
+            local.share._learner.receive_changes(news)
+            local.platform.is_down = False
+            local.platform.version = 5
+            while not local.share.is_up:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(1)
-            one.peers.told.clear()
-            one.peers.may_answer.set()
+            local.peers.sent.clear()
+            local.peers.may_answer.set()
             await asyncio.sleep(0.05)
-            beats = [told for told in one.peers.told if isinstance(told, ViewBeat)]
-            assert one.share.is_up
-            assert beats
-            assert all(beat.is_watching for beat in beats)
+            heartbeats = [
+                sent for sent in local.peers.sent if isinstance(sent, ViewBeat)
+            ]
+            assert local.share.is_up
+            assert heartbeats
+            assert all(heartbeat.is_watching for heartbeat in heartbeats)
             work.cancel()
-            await one.share.stop()
+            await local.share.stop()
 
         run_virtually(test())
 
 
 class TestFailures:
     @pytest.mark.filterwarnings("ignore")
-    def test_a_host_whose_follower_failed_does_not_say_that_it_watches(self):
-        """What fails is what takes the changes in, once."""
+    def test_a_host_whose_follower_failed_does_not_report_that_it_watches(self):
+        """Applying the changes raises an unexpected error, once."""
 
         async def test() -> None:
             fails = False
@@ -190,21 +196,21 @@
                 nonlocal fails, newest
                 if fails:
                     fails = False
-                    raise KeyError("not foreseen")
+                    raise KeyError("unexpected")
                 newest = max(stored.version for stored in changed)
 
-            one = One(apply=apply)
-            await one.platform.create("config/main", b"1")
-            work = asyncio.create_task(one.share.run())
-            while not one.share.is_up:
+            local = SingleHost(apply=apply)
+            await local.platform.create("config/main", b"1")
+            work = asyncio.create_task(local.share.run())
+            while not local.share.is_up:
                 await asyncio.sleep(0.1)
             fails = True
-            await one.platform.update("config/main", b"2", version=1)
+            await local.platform.update("config/main", b"2", version=1)
             await asyncio.sleep(3)
-            await one.platform.update("config/main", b"3", version=2)
+            await local.platform.update("config/main", b"3", version=2)
             await asyncio.sleep(10)
-            assert newest == 3 or not one.share.is_up
+            assert newest == 3 or not local.share.is_up
             work.cancel()
-            await one.share.stop()
+            await local.share.stop()
 
         run_virtually(test())
--- a/tests/test_store_comeback.py
+++ b/tests/test_store_comeback.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy, and gives revisions out again."""
+"""A store restored from an older copy, which assigns the same revisions again."""
 
 import asyncio
 from typing import Any
@@ -26,14 +26,14 @@
 from tests.endpoint_load import start_linked
 from tests.platform_system import PlatformSystem, run
 
-#: In which a change must be in force, in seconds.
-APPLY = 2.0
-#: How long the store is away, in seconds.
-AWAY = 0.5
+#: Time in seconds within which a change must be in force.
+APPLY_WITHIN = 2.0
+#: Duration in seconds of the store's outage before it is restored.
+OUTAGE = 0.5
 
 
 def config_with(version: int, *paths: str) -> dict[str, Any]:
-    """Return a configuration with more routes for calls."""
+    """Return a configuration with additional call routes at these paths."""
     config = make_config(version)
     plain = config["routes"][1]
     more = [plain | {"name": f"r-{path}", "path_prefix": path} for path in paths]
@@ -46,24 +46,24 @@
 
 async def wait_version(system: PlatformSystem, version: int) -> None:
     """Wait until all hosts have a version of the configuration in force."""
-    async with asyncio.timeout(APPLY):
+    async with asyncio.timeout(APPLY_WITHIN):
         while any(config_version(host) != version for host in system.hosts):
             await asyncio.sleep(0.02)
 
 
-async def come_back(system: PlatformSystem, copy: Any) -> None:
-    """Let the store be away for a moment, and come back from a copy."""
+async def restore_store(system: PlatformSystem, copy: Any) -> None:
+    """Make the store unreachable for a moment, and restore it from a copy."""
     system.store.refusal = 503
-    await asyncio.sleep(AWAY)
+    await asyncio.sleep(OUTAGE)
     system.store.come_back(copy)
     system.store.refusal = None
 
 
-class TestStoreFromACopy:
-    # Guards against hosts that take what is written after a comeback for old, since its
-    # revisions were given out before.
+class TestRestoredStore:
+    # Guards against hosts that ignore writes after a restore as outdated, since the
+    # store had assigned their revisions before.
     @pytest.mark.parametrize("operator_after", [0.2, 2.5])
-    def test_what_is_written_then_comes_into_force(self, operator_after):
+    def test_a_write_after_the_restore_takes_effect(self, operator_after):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, LOOKUPS, endpoints=2)
             copy = system.store.copy()
@@ -71,7 +71,7 @@
                 config = config_with(version, "/first/")
                 system.store.put("config", "main", config)
                 await wait_version(system, version)
-            await come_back(system, copy)
+            await restore_store(system, copy)
             await asyncio.sleep(operator_after)
             assert {config_version(host) for host in system.hosts} == {7}
             system.store.put("config", "main", config_with(7, "/first/"))
@@ -85,8 +85,8 @@
 
         run(test)
 
-    # Guards against a host that learns from others, and passes over what they tell.
-    def test_a_host_that_does_not_reach_the_store_learns_it_too(self):
+    # Guards against a host without the store that ignores other hosts' later updates.
+    def test_a_host_that_cannot_reach_the_store_receives_it_too(self):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, LOOKUPS, endpoints=2)
             copy = system.store.copy()
@@ -95,7 +95,7 @@
                 await wait_version(system, version)
             cut_off = system.hosts[-1]
             cut_off.store.move("http://127.0.0.1:1")
-            await come_back(system, copy)
+            await restore_store(system, copy)
             system.store.put("config", "main", config_with(6, "/new/"))
             await wait_version(system, 6)
             answer = await system.send("/new/1", body=b"1", host=cut_off)
@@ -103,14 +103,14 @@
 
         run(test)
 
-    # Guards against endpoints that a copy does not hold being taken for ended.
-    def test_endpoints_that_entered_since_are_kept(self):
+    # Guards against dropping live endpoints whose entries are missing from the copy.
+    def test_endpoints_registered_since_the_copy_are_kept(self):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, LOOKUPS, endpoints=1)
             copy = system.store.copy()
             runner = await system.add_runner("i-new", LOOKUPS)
             await system.wait_ready(2)
-            await come_back(system, copy)
+            await restore_store(system, copy)
             await asyncio.sleep(1.5)
             assert all("i-new" in host.catalog.endpoints_by_id for host in system.hosts)
             system.store.put("servers", "i-new", runner.entry(LOOKUPS, zone="pilar"))
@@ -119,26 +119,27 @@
 
         run(test)
 
-    # Guards against a departure that a copy does not know of being undone by it.
-    def test_an_endpoint_that_leaves_stays_so(self):
+    # Guards against a copy that makes a leaving endpoint available again, since it is
+    # older than the departure.
+    def test_a_leaving_endpoint_stays_out_of_use(self):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, LOOKUPS, endpoints=2)
             copy = system.store.copy()
             runner = system.runners["i-0"]
             entry = runner.entry(LOOKUPS, zone="pilar", state="draining")
             system.store.put("servers", "i-0", entry)
-            async with asyncio.timeout(APPLY):
+            async with asyncio.timeout(APPLY_WITHIN):
                 while any(host.fleet.is_healthy("i-0") for host in system.hosts):
                     await asyncio.sleep(0.02)
-            await come_back(system, copy)
+            await restore_store(system, copy)
             await asyncio.sleep(1.5)
             assert not any(host.fleet.is_healthy("i-0") for host in system.hosts)
 
         run(test)
 
-    # Guards against a host that is told another address of a store that came back, and
-    # takes its copy for the objects of another store (soak 43007).
-    def test_one_that_is_told_another_address_meanwhile_does_not_go_back(self):
+    # Guards against a host that is given a new address of a restored store, and treats
+    # the older copy as the objects of another store (soak seed 43007).
+    def test_a_host_given_a_new_address_does_not_return_to_older_routes(self):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, LOOKUPS, endpoints=1)
             copy = system.store.copy()
@@ -147,7 +148,7 @@
                 await wait_version(system, version)
             moved = system.hosts[0]
             port = moved.settings.platform.rpartition(":")[2]
-            await come_back(system, copy)
+            await restore_store(system, copy)
             platform = f"http://127.0.0.1:{port}/"
             moved.reload(attrs.evolve(moved.settings, platform=platform))
             until = asyncio.get_running_loop().time() + 1.0
@@ -159,8 +160,9 @@
 
         run(test)
 
-    # Guards against two comebacks in a row, the second from an older copy.
-    def test_twice_in_a_row(self):
+    # Guards against writes being ignored after two restores in a row, the second from
+    # an older copy.
+    def test_two_restores_in_a_row(self):
         async def test(system: PlatformSystem) -> None:
             await start_linked(system, LOOKUPS, endpoints=1)
             first = system.store.copy()
@@ -170,8 +172,8 @@
             second = system.store.copy()
             system.store.put("config", "main", config_with(6))
             await wait_version(system, 6)
-            await come_back(system, second)
-            await come_back(system, first)
+            await restore_store(system, second)
+            await restore_store(system, first)
             await asyncio.sleep(0.2)
             system.store.put("config", "main", config_with(7, "/new/"))
             await wait_version(system, 7)
@@ -180,17 +182,17 @@
 
 
 class TestEras:
-    def test_what_is_written_later_is_the_higher_version(self):
+    def test_a_later_write_has_a_higher_version(self):
         versions = [version_of(0, 9), version_of(1, 20), version_of(2, 5)]
         assert versions == sorted(versions)
         assert [era_of(version) for version in versions] == [0, 1, 2]
         assert [revision_of(version) for version in versions] == [9, 20, 5]
 
-    def test_versions_can_be_told_in_64_bits(self):
+    def test_versions_fit_in_64_bits(self):
         assert version_of(MAX_ERA, REVISIONS_PER_ERA - 1) < 2**63
 
     @pytest.mark.parametrize("text", [b"", b"-1", b"1.5", b"two", b"9" * 5000])
-    def test_what_is_no_era_changes_nothing(self, text):
+    def test_an_invalid_era_is_ignored(self, text):
         async def test() -> None:
             answers = EraAnswers([b"3", text, b"3"])
             store = PlatformStore(fetcher=answers, url="http://x")
@@ -200,7 +202,7 @@
         asyncio.run(test())
 
     @pytest.mark.parametrize("status", [410, 429, 503])
-    def test_it_is_learned_of_any_answer_and_an_earlier_one_is_not_taken(self, status):
+    def test_any_answer_sets_the_era_and_an_earlier_era_is_rejected(self, status):
         async def test() -> None:
             answers = EraAnswers([b"1", b"2", b"1", b"2"])
             store = PlatformStore(fetcher=answers, url="http://x")
@@ -219,7 +221,7 @@
 
         asyncio.run(test())
 
-    def test_a_watch_that_a_later_era_answers_is_too_old(self):
+    def test_a_watch_answered_in_a_later_era_is_too_old(self):
         async def test() -> None:
             store = PlatformStore(fetcher=EraAnswers([b"1", b"2"]), url="http://x")
             known = await store.list_objects("config/")
@@ -228,7 +230,7 @@
 
         asyncio.run(test())
 
-    def test_another_store_has_eras_of_its_own(self):
+    def test_the_era_is_reset_for_another_store(self):
         async def test() -> None:
             store = PlatformStore(fetcher=EraAnswers([b"7", b"1"]), url="http://x")
             await store.list_objects("config/")
@@ -239,7 +241,7 @@
 
 
 class EraAnswers:
-    """Answers calls with one era after the other."""
+    """Answers each call with the next era of a list."""
 
     def __init__(self, eras: list[bytes]) -> None:
         self.status = 200
