--- a/passtally/platform/__init__.py
+++ b/passtally/platform/__init__.py
@@ -1,5 +1,6 @@
-"""The adapter to the users' platform: it translates and decides nothing.
+"""The adapter to the outside platform: it translates and makes no decisions.
 
-Every name of the platform's wire stands in this package. It is decoded once into
-the product's types; retries, routing, limits, silence and drains are the product's.
+All names of the platform's wire are in this package, which decodes each message once
+into the product's types. Retries, routing, limits, silence and drains are handled
+by the product.
 """
--- a/passtally/platform/__main__.py
+++ b/passtally/platform/__main__.py
@@ -1,14 +1,14 @@
-"""Starts an entry host: what can't wait for the imports, then the program."""
+"""Starts an entry host: first signals and listening, then the slow imports."""
 
 import signal
 
 
 def main() -> None:
-    """Run an entry host until it is told to stop."""
-    # The default action would end a process that is told to read its settings again
-    # before it can; they are read after this in any case.
+    """Run an entry host until a signal stops it."""
+    # The default action of SIGHUP would terminate a process that is asked to reload
+    # before it can. Nothing is lost by ignoring it: the settings are read after this.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Even these imports take 10 ms, in which such a signal would end the process.
+    # Even these imports take 10 ms, in which a SIGHUP would terminate the process.
     from passtally.platform.settings_file import listen_early, settings_path
     from passtally.standard_streams import open_standard_streams
     from passtally.stop_signals import StopSignals
@@ -21,9 +21,10 @@
     try:
         front_socket = listen_early(path)
     except (OSError, ValueError, OverflowError) as error:
-        # Told once there is a log: standard error may be full, and hold the host up.
+        # Logged later, when the log is open: writing to a full standard error would
+        # block the start.
         problem = error
-    # Importing the rest takes a third of a second of a host's processor.
+    # Importing the rest takes a third of a second of processor time.
     from passtally.platform.process import run
 
     run(path, signals, front_socket=front_socket, problem=problem)
--- a/passtally/platform/adapter.py
+++ b/passtally/platform/adapter.py
@@ -1,4 +1,4 @@
-"""Puts the translations of this package together for one host."""
+"""The platform's implementation of the product's adapter interface."""
 
 from collections.abc import Callable
 
@@ -23,38 +23,38 @@
 
 
 class PlatformAdapter:
-    """See :class:`passtally.adapter.Adapter`."""
+    """Implements :class:`passtally.adapter.Adapter` for the platform."""
 
     routes_prefix = "config/"
-    #: The platform's "servers" are our endpoints.
+    #: The platform calls endpoints "servers".
     endpoints_prefix = "servers/"
     rollouts_prefix = "rollouts/"
 
     def open_store(self, fetcher: Fetcher, url: str) -> PlatformStore:
-        """Return the client of the store."""
+        """Return a client of the store at a URL."""
         return PlatformStore(
-            fetcher=fetcher, url=url, whole_prefixes=(self.rollouts_prefix,)
+            fetcher=fetcher, url=url, full_object_prefixes=(self.rollouts_prefix,)
         )
 
     def decode_routes(self, stored: StoredObject) -> RouteSet | None:
-        """Read the routes; None for an object that holds none."""
+        """Decode the routes; return None for any other object, or a removed one."""
         if stored.key != _ROUTES_KEY or stored.is_removed:
             return None
         return decode_routes(bytes(stored.value))
 
     def decode_endpoint(self, stored: StoredObject) -> Endpoint:
-        """Read an endpoint's entry."""
+        """Decode an endpoint's entry."""
         endpoint_id = stored.key.removeprefix(self.endpoints_prefix)
         return decode_endpoint(endpoint_id, bytes(stored.value))
 
     def decode_rollout(self, stored: StoredObject) -> RolloutRecord:
-        """Read an order to move a service to another version."""
+        """Decode an order to move a service to another version."""
         return decode_rollout(stored)
 
     async def record_rollout(
         self, store: PlatformStore, record: RolloutRecord, state: RecordedState
     ) -> None:
-        """Record the state of a roll-out, unless its order has changed."""
+        """Write the state of a roll-out to the store, unless its order has changed."""
         name = record.order.service
         body = encode_status(name, record, state)
         await store.write_status(
@@ -80,19 +80,19 @@
         )
 
     async def is_engine(self, engine: RunnerEngine) -> bool:
-        """Return whether a model engine answers there."""
+        """Return whether the endpoint's report is that of a model engine."""
         return await engine.is_engine()
 
     def make_sender(
         self, *, pool: ConnectionPool, clock: Clock, recorder: DirectiveRecorder
     ) -> RunnerSender:
-        """Return what sends plain calls."""
+        """Return a sender of plain calls."""
         return RunnerSender(pool=pool, clock=clock, recorder=recorder)
 
     def make_handler(self, front: Front) -> Handle:
-        """Return what hands callers' requests to the front."""
+        """Return the HTTP handler that passes callers' requests to the front."""
         return Ingress(front=front).handle
 
     def encode_ready(self, is_ready: bool) -> tuple[int, bytes]:
-        """Return the status and body for the balancer's question."""
+        """Return the status and body that answer the balancer's readiness check."""
         return encode_ready(is_ready)
--- a/passtally/platform/answer_directives.py
+++ b/passtally/platform/answer_directives.py
@@ -1,4 +1,4 @@
-"""Decodes what an answer's head says of its endpoint: the one place that reads it."""
+"""Decodes the directives in the heads of endpoints' answers; no other module does."""
 
 import math
 from collections.abc import Callable, Iterator
@@ -16,14 +16,16 @@
 def read_directives(
     head: ResponseHead, *, endpoint_id: str, request_id: bytes | None = None
 ) -> EndpointDirectives | None:
-    """Return what an answer says of an endpoint; None where it is not its own word.
+    """Return an endpoint's directives, or None if the answer is not its own.
+
+    An answer of another endpoint, or to another request, is not the endpoint's own.
 
     Args:
         head: The answer's head.
-        endpoint_id: The endpoint that was asked.
-        request_id: The request's id, where it has one.
+        endpoint_id: The endpoint that the request was sent to.
+        request_id: The id of the request, or None if it has none.
     """
-    if not _is_own_word(head, endpoint_id, request_id):
+    if not _is_from_endpoint(head, endpoint_id, request_id):
         return None
     invalid_by_directive: dict[Directive, str] = {}
     return EndpointDirectives(
@@ -39,17 +41,17 @@
         limit=_read(
             head, Directive.LIMIT, names.LIMIT, decode_limit, invalid_by_directive
         ),
-        rest=_read_rest(head, invalid_by_directive),
+        rest=_read_backoff(head, invalid_by_directive),
         invalid_by_directive=invalid_by_directive,
-        unread=tuple(_find_unread(head)),
+        unread=tuple(_find_unknown(head)),
     )
 
 
 def decode_limit(text: bytes) -> float:
-    """Read the requests a second that an endpoint takes.
+    """Decode an endpoint's request limit, in requests per second.
 
     Raises:
-        ValueError: It is no decimal number, or a negative one.
+        ValueError: The text is not a finite decimal number from 0 on.
     """
     rate = float(text)
     if not 0 <= rate < math.inf:
@@ -58,45 +60,51 @@
 
 
 def decode_leaving(text: bytes) -> bool:
-    """Read that an endpoint leaves.
+    """Decode the mark of an endpoint that is leaving; return True.
 
     Raises:
-        ValueError: It does not say so.
+        ValueError: The text is not 1.
     """
     if text.strip() != b"1":
         raise ValueError("not a departure")
     return True
 
 
-def decode_rest(text: bytes) -> float:
-    """Read the seconds of rest that an endpoint asks for.
+def decode_retry_after(text: bytes) -> float:
+    """Decode the back-off that an endpoint asks for, in seconds.
 
     Raises:
-        ValueError: It is no decimal number, a negative one or without end. A date is
-            none either: the clocks of machines differ by seconds.
+        ValueError: The text is not a finite decimal number from 0 on. A date is not
+            accepted either: the clocks of machines differ by seconds.
     """
     return decode_limit(text)
 
 
-def _read_rest(
+def _read_backoff(
     head: ResponseHead, invalid_by_directive: dict[Directive, str]
 ) -> timedelta | None:
-    """Return the rest that an endpoint asks for that turns a request away."""
+    """Return the back-off of an answer that rejects a request with status 503."""
     if head.status != 503:
         return None
-    seconds = _read(head, Directive.REST, names.REST, decode_rest, invalid_by_directive)
+    seconds = _read(
+        head,
+        Directive.REST,
+        names.RETRY_AFTER,
+        decode_retry_after,
+        invalid_by_directive,
+    )
     if seconds is None:
         return None
     return timedelta(seconds=min(seconds, MAX_BACKOFF.total_seconds()))
 
 
-def _is_own_word(
+def _is_from_endpoint(
     head: ResponseHead, endpoint_id: str, request_id: bytes | None
 ) -> bool:
-    """Return whether the endpoint that was asked has given this answer to it.
+    """Return whether an answer is the endpoint's answer to this request.
 
-    Another one that has its address says so by status 421 or by its name; a surplus
-    answer carries the id of an earlier request.
+    Another endpoint at a reused address answers with status 421 or under its own id. A
+    surplus answer, left over on a connection, carries the id of an earlier request.
     """
     answered_by = head.header(names.ANSWERED_BY)
     return (
@@ -106,11 +114,11 @@
     )
 
 
-def _find_unread(head: ResponseHead) -> Iterator[str]:
-    """Return the names of the platform's headers that are not known."""
+def _find_unknown(head: ResponseHead) -> Iterator[str]:
+    """Return the names of the platform's headers that this host does not know."""
     for name, _ in head.headers:
         lower = name.lower()
-        if lower.startswith(names.OWN_PREFIXES) and (
+        if lower.startswith(names.PLATFORM_PREFIXES) and (
             lower not in names.SAID_BY_ENDPOINTS
         ):
             yield lower.decode("latin-1")
@@ -118,17 +126,20 @@
 
 def _read(
     head: ResponseHead,
-    word: Directive,
+    directive: Directive,
     name: bytes,
     decode: Callable[[bytes], T],
     invalid_by_directive: dict[Directive, str],
 ) -> T | None:
-    """Return a header's value; one that can't be read is told apart."""
+    """Return a header's value; record one that can't be decoded as invalid.
+
+    Both an absent and an invalid header give None.
+    """
     text = head.header(name)
     if text is None:
         return None
     try:
         return decode(text)
     except ValueError:
-        invalid_by_directive[word] = text.decode("latin-1")
+        invalid_by_directive[directive] = text.decode("latin-1")
         return None
--- a/passtally/platform/decode.py
+++ b/passtally/platform/decode.py
@@ -17,12 +17,13 @@
 )
 from passtally.settings import parse_address
 
-#: Endpoints of services without an engine take this many requests if not told.
+#: Concurrent requests of an endpoint of a service without an engine if its entry states
+#: none.
 DEFAULT_SLOTS = 1
 
 T = TypeVar("T")
 
-#: Hosts tell each other incarnations as integers of 64 bits.
+#: Hosts send incarnations to each other as 64-bit integers.
 _Incarnation = Annotated[int, msgspec.Meta(ge=UNTOLD_START, le=(1 << 63) - 1)]
 
 
@@ -86,38 +87,41 @@
     zone: str
     state: Literal["ready", "draining"]
     slots: int = DEFAULT_SLOTS
-    #: The Unix time of its start in milliseconds. It may start again under its id.
+    #: The Unix time in milliseconds of the endpoint's start. An endpoint may start
+    #: again under the same id.
     born: _Incarnation = UNTOLD_START
-    #: The version of its software; not of what it has loaded, nor of this entry.
+    #: The version of the endpoint's software, not of its weights or of this entry.
     version: str = ""
-    #: For how much longer it is slow from its start, at the last change of the entry.
+    #: Remaining time of the slow phase after a start, in milliseconds, as of the last
+    #: change of the entry.
     cold_remaining_ms: float = 0
 
 
 class _Run(msgspec.Struct, array_like=True):
     id: str
-    #: The tokens that its memory holds, of prompt and output.
+    #: The tokens in KV memory, of prompt and output.
     tokens: float
-    #: How many events of its stream were made.
+    #: The number of events that the run has produced.
     events: int
 
 
 class _Report(msgspec.Struct):
     models: list[msgspec.Raw]
     queued: int = 0
-    #: All runs that have a place, those whose prompt is still being read too.
+    #: All runs that have a slot, including those in prefill.
     running: int = 0
-    #: Only the runs that have output, not all that are running; None where untold.
+    #: Only the runs that have output, not all that are running; None if the report
+    #: does not list them.
     runs: list[_Run] | None = None
 
 
 class _CacheEvent(msgspec.Struct, array_like=True):
     number: int
-    #: "+" where a part came into the memory, "-" where it left.
+    #: "+" if a part was added to the cache, "-" if it was evicted.
     sign: str
-    #: Always empty here.
+    #: Always empty on this platform.
     text: str
-    #: What names the part of a prompt.
+    #: The id of the part of a prompt.
     part: str
 
 
@@ -127,7 +131,8 @@
 
 class _CopyOrder(msgspec.Struct):
     id: str
-    #: The address of the endpoint that is to have the copy; not a version.
+    #: The address of the endpoint that receives the copy. Despite the field's name, it
+    #: is not a version.
     target_version: str
 
 
@@ -141,10 +146,10 @@
 
 
 def decode_copy_handle(body: bytes) -> str:
-    """Return what names the copy at its source.
+    """Return the handle under which the source reports the copy.
 
     Raises:
-        ValueError: The answer does not fit.
+        ValueError: The answer does not match the schema.
     """
     return _decode(body, _Copied).handle
 
@@ -158,10 +163,10 @@
 
 
 def count_waiting_runs(body: bytes) -> int:
-    """Return how many runs of an endpoint's report have no output yet.
+    """Return the number of runs in an endpoint's report that have no output yet.
 
     Raises:
-        ValueError: The report does not fit.
+        ValueError: The report does not match the schema.
     """
     report = _decode(body, _Report)
     if report.runs is None:
@@ -171,10 +176,10 @@
 
 
 def decode_cached_parts(body: bytes) -> frozenset[str]:
-    """Return the parts of prompts that an endpoint keeps, by its last cache events.
+    """Return the parts of prompts that an endpoint caches, by its last cache events.
 
     Raises:
-        ValueError: The events do not fit.
+        ValueError: The events do not match the schema.
     """
     signs_by_part = {
         event.part: event.sign for event in _decode(body, _CacheEvents).events
@@ -183,10 +188,10 @@
 
 
 def decode_routes(spec: bytes) -> RouteSet:
-    """Read the configuration.
+    """Decode the configuration of routes, services, workspaces and limits.
 
     Raises:
-        ValueError: It does not fit.
+        ValueError: The configuration does not match the schema.
     """
     config = _decode(spec, _Config)
     return RouteSet(
@@ -211,10 +216,10 @@
 
 
 def decode_endpoint(endpoint_id: str, spec: bytes) -> Endpoint:
-    """Read an endpoint's entry.
+    """Decode an endpoint's entry.
 
     Raises:
-        ValueError: It does not fit; it may come from another writer.
+        ValueError: The entry does not match the schema; it may be of another writer.
     """
     server = _decode(spec, _Server)
     is_ready = server.state == "ready"
--- a/passtally/platform/ingress.py
+++ b/passtally/platform/ingress.py
@@ -14,17 +14,17 @@
 
 
 class Ingress:
-    """Hands the callers' requests to the front.
+    """Decodes callers' requests and passes them to the front.
 
     Args:
-        front: Serves them.
+        front: The front that serves the requests.
     """
 
     def __init__(self, *, front: Front) -> None:
         self._front = front
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve one request."""
+        """Serve one request; answer 400 if a header can't be decoded."""
         try:
             request = decode_request(exchange.request)
         except ValueError as error:
@@ -41,7 +41,7 @@
 
 
 class IngressResponder:
-    """Writes one answer as the callers expect it.
+    """Writes one answer in the form that the platform's callers expect.
 
     Args:
         exchange: The request and its connection.
@@ -51,7 +51,7 @@
         self._exchange = exchange
 
     async def answer(self, answer: PlainAnswer) -> None:
-        """Pass on an endpoint's whole answer."""
+        """Forward an endpoint's buffered answer."""
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in answer.headers.items()
@@ -64,7 +64,7 @@
         await self._exchange.end()
 
     async def refuse(self, failure: Failure) -> None:
-        """Answer with a refusal of this host's own."""
+        """Answer with a rejection that this host made."""
         if self._exchange.has_begun:
             self.abort()
             return
@@ -78,12 +78,12 @@
         await self._exchange.answer(failure.status, headers, failure.to_json())
 
     async def begin(self, head: ResponseHead) -> None:
-        """Pass on the head of a stream."""
+        """Forward the head of a stream."""
         headers = drop_connection_headers(head.headers)
         await self._exchange.begin(head.status, headers, is_framed=head.is_framed)
 
     async def write(self, data: bytes) -> None:
-        """Pass on a part of a stream."""
+        """Forward a chunk of a stream."""
         await self._exchange.write(data)
 
     async def end(self) -> None:
@@ -96,10 +96,10 @@
 
 
 def decode_request(request: HttpRequest) -> FrontRequest:
-    """Read what the system needs of a request.
+    """Decode a caller's HTTP request.
 
     Raises:
-        ValueError: A header can't be read.
+        ValueError: A header can't be decoded.
     """
     request_id = _text(request, names.REQUEST_ID)
     time_left = _number(request, names.TIME_LEFT_MS)
@@ -156,6 +156,6 @@
 
 
 def encode_ready(is_ready: bool) -> tuple[int, bytes]:
-    """Return the status and body for the balancer's question."""
+    """Return the status and body that answer the balancer's readiness check."""
     status = 200 if is_ready else 503
     return status, msgspec.json.encode({"ready": is_ready})
--- a/passtally/platform/names.py
+++ b/passtally/platform/names.py
@@ -1,59 +1,65 @@
-"""The platform's header names, in lower case as they are compared."""
+"""The platform's header names, in lower case for comparison."""
 
 REQUEST_ID = b"x-request-id"
-#: How long the caller will still wait, in milliseconds; a duration, not an instant.
+#: Time until the caller gives up, in milliseconds: a duration, not a point in time.
 TIME_LEFT_MS = b"x-deadline-ms"
 KEY = b"x-key"
 WORKSPACE = b"x-tenant-id"
 EXPECTED_ENDPOINT = b"x-expect-instance"
-#: The id of the last event that the caller has.
+#: The id of the last event that the caller received.
 LAST_EVENT_ID = b"last-event-id"
-#: The prompt's length and the most tokens out, as ``PROMPT,MOST``; not a usage.
+#: The length of the prompt and the maximum output, in tokens, as ``PROMPT,MAX``.
+#: Despite the header's name, it is not the usage of a finished run.
 TOKEN_COUNTS = b"x-token-usage"
-#: The prompt's parts in order, as ``ID:TOKENS,...``; not a hash of the prompt.
+#: The parts of the prompt in order, as ``ID:TOKENS,...``. Despite the header's name,
+#: it is not a hash of the prompt.
 PROMPT_PARTS = b"x-prefix-hash"
-#: Proves that an answer is the endpoint's; passed on unchanged.
+#: Proof that the endpoint made the answer; forwarded unchanged.
 PROOF = b"x-response-stamp"
-#: On an answer: the endpoint did not run the request.
+#: Response header: the endpoint did not run the request.
 NOT_RUN = b"x-not-executed"
-#: On an answer: the endpoint that gave it.
+#: Response header: the id of the endpoint that answered.
 ANSWERED_BY = b"x-instance-id"
-#: On an answer: the requests a second that the endpoint takes from all hosts together.
+#: Response header: the endpoint's request limit in requests per second, over all hosts.
 LIMIT = b"server-limit"
-#: On an answer: 1 where the endpoint leaves; absent where it does not.
+#: Response header: 1 if the endpoint is leaving, otherwise absent.
 LEAVING = b"server-leaving"
-#: On an answer of status 503: for how many seconds the endpoint wants no request of the
-#: host that it turned away.
-REST = b"retry-after"
-#: On an answer: the version of the model's weights that made it. Answers are not joined
-#: over versions: the version of an endpoint's software tells that before it is asked.
+#: Response header with status 503: the back-off in seconds that the endpoint asks of
+#: the host whose request it rejected.
+RETRY_AFTER = b"retry-after"
+#: Response header: the version of the model weights that made the answer. An answer is
+#: not continued on another version; the version of an endpoint's software decides this,
+#: since it is known before a request is sent.
 WEIGHTS = b"x-weight-versions"
-#: On every answer of the store: how often it came back from an older copy.
+#: On every answer of the store: how many times it was restored from an older copy.
 STORE_ERA = b"store-era"
 CONTENT_ENCODING = b"content-encoding"
 HOST = b"host"
-#: 0 is the most urgent; 5 where the header is absent.
+#: 0 is the most urgent; 5 is the default without the header.
 PRIORITY = b"x-request-priority"
-#: The endpoint that is to keep a replica of the run, as IP:PORT.
+#: The address of the endpoint that keeps a replica of the run, as IP:PORT.
 REPLICA_AT = b"x-kv-backup"
-#: Where the state of the same run is kept, as IP:PORT/ID.
+#: The location of the replica to resume the run from, as IP:PORT/ID.
 STATE_FROM = b"kv-from"
 STATE_FETCH = b"kv-fetch"
-#: A place and memory set aside before; lets a request go ahead of all that wait.
+#: A slot and memory that were reserved before; the request skips the endpoint's queue.
 RESERVATION = b"x-hold"
-#: For how long a prompt stays in the endpoint's memory after a whole run.
+#: Time in milliseconds that a prompt stays in the endpoint's memory after a complete
+#: run.
 KEEP_PROMPT_MS = b"x-pin-ms"
-#: The version of the model's weights; an endpoint with another one refuses.
+#: The required version of the model weights; an endpoint with another version rejects
+#: the request.
 EXPECTED_WEIGHTS = b"x-expect-version"
 
-#: What an endpoint may say in its answers; of others a line is logged.
+#: Platform headers that are known in answers of endpoints; any other is logged.
 SAID_BY_ENDPOINTS = frozenset(
-    (REQUEST_ID, PROOF, NOT_RUN, ANSWERED_BY, LIMIT, LEAVING, REST, WEIGHTS)
+    (REQUEST_ID, PROOF, NOT_RUN, ANSWERED_BY, LIMIT, LEAVING, RETRY_AFTER, WEIGHTS)
 )
-#: What the names of headers begin with that are the platform's own.
-OWN_PREFIXES = (b"x-", b"server-", b"kv-")
-#: Headers that only this system sets towards endpoints. A caller's own are not handed
-#: on: they would take memory or places from others, or make a sound endpoint refuse.
+#: Prefixes of the names of the platform's headers.
+PLATFORM_PREFIXES = (b"x-", b"server-", b"kv-")
+#: Headers that only this system sets on requests to endpoints. A caller's values are
+#: not forwarded: they would take memory or slots from others, or make a healthy
+#: endpoint reject the request.
 SYSTEM_HEADERS = (
     TIME_LEFT_MS,
     KEY,
--- a/passtally/platform/process.py
+++ b/passtally/platform/process.py
@@ -29,12 +29,14 @@
 
 EXIT_USAGE = 2
 STANDARD_OUTPUT = 1
-#: How long to wait at the start for settings that can be used: a file of 3 KB is
-#: written in a millisecond, and a busy machine may hold its writer up for a second.
-SETTINGS_PATIENCE = timedelta(seconds=2)
-#: What a host opens before its first caller comes.
+#: Time at the start until valid settings must be there. A file of 3 KB is written in a
+#: millisecond, but a busy machine may stall its writer for a second.
+SETTINGS_TIMEOUT = timedelta(seconds=2)
+#: Minimum number of free file descriptors: a host opens as many before its first caller
+#: connects.
 MIN_DESCRIPTORS = 24
-SETTINGS_PAUSE = timedelta(milliseconds=50)
+#: Interval between two attempts to read the settings at the start.
+SETTINGS_RETRY_INTERVAL = timedelta(milliseconds=50)
 
 
 def run(
@@ -44,22 +46,23 @@
     front_socket: socket.socket | None,
     problem: Exception | None,
 ) -> None:
-    """Run an entry host until it is told to stop.
+    """Run an entry host until a signal stops it.
 
     Args:
         path: The settings file.
-        signals: Notes a stop that comes before the loop takes them.
-        front_socket: Listens already where callers come in, if any does.
-        problem: Why none does.
+        signals: The stop signals; records one that arrives before the loop handles
+            them.
+        front_socket: A socket that already listens for callers, or None.
+        problem: The error that kept such a socket from listening, or None.
     """
-    # Before the first thread is started.
+    # Has to run before the first thread is started.
     limit_arenas()
     try:
         check_free(MIN_DESCRIPTORS)
-        settings = _read_when_whole(path, signals)
+        settings = _read_until_valid(path, signals)
     except (SettingsError, OSError) as error:
         print(f"passtally: {path}: {error}", file=sys.stderr)
-        # One that was told to stop meanwhile has done so.
+        # A stop signal that arrived while waiting makes this a planned stop.
         sys.exit(0 if signals.waited() else EXIT_USAGE)
     output = LogOutput(stream=open_log())
     eliot.add_destinations(output)
@@ -69,7 +72,7 @@
         settings=settings,
         clock=SystemClock(),
         adapter=PlatformAdapter(),
-        front_socket=_keep_if_told(front_socket, settings.listen),
+        front_socket=_keep_if_configured(front_socket, settings.listen),
     )
     with aiomisc.entrypoint(
         host,
@@ -80,61 +83,62 @@
     ) as loop:
         loop.run_until_complete(_wait_for_stop(host, path, signals))
     output.close()
-    # Nothing is left to be done, and the interpreter takes 0.1 s to take itself apart,
-    # on a busy machine 0.3 s: time in which the platform may kill a host that has
-    # stopped as planned.
+    # Skips the interpreter's finalization, which takes 0.1 s, or 0.3 s on a busy
+    # machine: the platform may kill a host in that time although it stopped as planned.
     os._exit(0)
 
 
-def _keep_if_told(
-    front_socket: socket.socket | None, told: Address
+def _keep_if_configured(
+    front_socket: socket.socket | None, listen: Address
 ) -> socket.socket | None:
-    """Return the early socket if it listens where callers are told to come.
+    """Return the early socket if it listens at the configured address.
 
-    It was opened by settings that may have been half written.
+    It was opened from a settings file that may have been incomplete at that moment.
+    Any other socket is closed.
     """
-    if front_socket is None or front_socket.getsockname() == (told.host, told.port):
+    if front_socket is None or front_socket.getsockname() == (listen.host, listen.port):
         return front_socket
-    log_event("daemon", "Listened elsewhere before loading.", listen=told)
+    log_event("daemon", "Closed the early socket, its address differs.", listen=listen)
     front_socket.close()
     return None
 
 
 def open_log() -> BinaryIO:
-    """Return standard output for log lines.
+    """Return standard output, unbuffered, for log lines.
 
-    Nothing of it is kept in a buffer: what could not be written when the program ends
-    would turn its status into a failure.
+    Output left in a buffer that can't be flushed at exit would turn the exit status
+    into a failure.
     """
     return open(STANDARD_OUTPUT, "wb", buffering=0, closefd=False)
 
 
-def _read_when_whole(path: Path, signals: StopSignals) -> Settings:
-    """Read the settings, and again for a while where they can't be used.
+def _read_until_valid(path: Path, signals: StopSignals) -> Settings:
+    """Read the settings, and retry for a limited time while they are invalid.
 
-    They may be written anew at the moment of a start, and be empty or half there.
+    The file may be rewritten at the moment of a start, and be empty or incomplete.
 
     Raises:
-        SettingsError: They can't be used after all.
-        OSError: They can't be read after all.
+        SettingsError: The settings are still invalid at the end of that time.
+        OSError: The file still can't be read at the end of that time.
     """
     clock = SystemClock()
-    until = clock.monotonic() + SETTINGS_PATIENCE
+    until = clock.monotonic() + SETTINGS_TIMEOUT
     while True:
         try:
             return read_settings(path)
         except (SettingsError, OSError):
             if clock.monotonic() >= until or signals.waited():
                 raise
-        time.sleep(SETTINGS_PAUSE.total_seconds())
+        time.sleep(SETTINGS_RETRY_INTERVAL.total_seconds())
 
 
 async def _wait_for_stop(host: FrontHost, path: Path, signals: StopSignals) -> None:
+    """Watch the settings until a signal stops the host, then drain it."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     signals.hand_over(loop, stopping.set)
     watch = SettingsWatch(path=path, host=host, clock=host.clock)
-    loop.add_signal_handler(signal.SIGHUP, watch.look_soon)
+    loop.add_signal_handler(signal.SIGHUP, watch.check_now)
     work = keep_running("settings", watch.run, clock=host.clock)
     watching = loop.create_task(work)
     await stopping.wait()
--- a/passtally/platform/rollout_object.py
+++ b/passtally/platform/rollout_object.py
@@ -1,4 +1,4 @@
-"""Translates the platform's orders to move a service to another version."""
+"""Decodes roll-out orders of the platform and encodes their recorded states."""
 
 import math
 from datetime import timedelta
@@ -10,33 +10,36 @@
 from passtally.rollout import RecordedState, RolloutOrder, RolloutRecord
 from passtally.store_order import revision_of
 
-#: Their "running" is recorded once the new version was found good and traffic is moved
-#: onto it; while it is tried nothing is recorded.
-_WORDS_BY_STATE = {
+#: The platform's "running" is recorded once the trial of the new version has succeeded
+#: and traffic is moved to it. During the trial no state is recorded.
+_TEXTS_BY_STATE = {
     RecordedState.MOVING: "running",
     RecordedState.COMPLETED: "completed",
     RecordedState.ROLLED_BACK: "rolled_back",
 }
-_STATES_BY_WORD = {word: state for state, word in _WORDS_BY_STATE.items()}
+_STATES_BY_TEXT = {text: state for state, text in _TEXTS_BY_STATE.items()}
 
 
 class _Metadata(msgspec.Struct, omit_defaults=True):
     name: str
     revision: int
-    #: The store's revision at which it was made: a new order under an old name differs.
+    #: The store's revision at which the object was created. It differs between two
+    #: orders of the same name.
     created: int = 0
 
 
 class _Spec(msgspec.Struct):
     service: str
     target_version: str
-    #: The time from the order until it must be over; not how long the trial lasts.
+    #: Time from the order until the roll-out must be finished, in seconds; not the
+    #: duration of the trial.
     duration_s: Annotated[float, msgspec.Meta(gt=0, le=timedelta.max.days)]
 
 
 class _Status(msgspec.Struct):
     state: str
-    #: The order that the state belongs to; an older order's may still stand there.
+    #: The version of the order that the state belongs to. The state of an earlier order
+    #: may still be stored.
     target_version: str = ""
 
 
@@ -52,10 +55,10 @@
 
 
 def decode_rollout(stored: StoredObject) -> RolloutRecord:
-    """Read an order and what was recorded of it.
+    """Decode an order and its recorded state.
 
     Raises:
-        ValueError: It does not fit.
+        ValueError: The object does not match the schema, or is not a valid order.
     """
     try:
         rollout = msgspec.json.decode(stored.value, type=_Rollout)
@@ -63,9 +66,11 @@
         raise ValueError(str(error)) from error
     spec = rollout.spec
     if spec.service != rollout.metadata.name:
-        raise ValueError(f"is named {rollout.metadata.name}, and of {spec.service}")
+        raise ValueError(
+            f"named {rollout.metadata.name}, but for service {spec.service}"
+        )
     if not spec.target_version or not math.isfinite(spec.duration_s):
-        raise ValueError("no version, or no time, to move to it")
+        raise ValueError("target_version is empty, or duration_s is not finite")
     return RolloutRecord(
         order=RolloutOrder(
             id=f"{spec.service}/{spec.target_version}/{rollout.metadata.created}"
@@ -80,29 +85,33 @@
 
 
 def encode_status(name: str, record: RolloutRecord, state: RecordedState) -> bytes:
-    """Return what records a state, unless the object has changed since.
+    """Return the body of a status update, valid for one version of the object only.
 
     Args:
         name: The object's name.
-        record: The order, and the version of the object.
-        state: The state.
+        record: The order, and the version of the object that it was read from.
+        state: The state to record.
     """
     return msgspec.json.encode(
         _StatusChange(
             metadata=_Metadata(name=name, revision=revision_of(record.object_version)),
             status=_Status(
-                state=_WORDS_BY_STATE[state], target_version=record.order.version
+                state=_TEXTS_BY_STATE[state], target_version=record.order.version
             ),
         )
     )
 
 
 def _read_state(rollout: _Rollout) -> RecordedState | None:
-    """Return the state of this order; another writer's status says nothing."""
+    """Return the recorded state of this order.
+
+    Return None for a status of another order, or one that can't be decoded: it is of
+    another writer.
+    """
     try:
         status = msgspec.json.decode(rollout.status, type=_Status | None)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return None
     if status is None or status.target_version != rollout.spec.target_version:
         return None
-    return _STATES_BY_WORD.get(status.state)
+    return _STATES_BY_TEXT.get(status.state)
--- a/passtally/platform/runner.py
+++ b/passtally/platform/runner.py
@@ -1,4 +1,4 @@
-"""The endpoints on the platform: model engines and plain services over HTTP/1.1."""
+"""Clients of the platform's endpoints: model engines and plain services on HTTP/1.1."""
 
 from collections.abc import Callable, Sequence
 from datetime import timedelta
@@ -31,30 +31,31 @@
 from passtally.retry import LossKind
 from passtally.settings import Address
 
-#: The longest answer of a call that is taken, in bytes.
+#: Maximum size of the answer to a plain call, in bytes.
 MAX_ANSWER_BYTES = 16 << 20
 DEFAULT_PRIORITY = 5
-#: How long copying a run may take. A copy of 1.8 GB takes 60 to 120 ms, and copies
-#: wait for each other.
+#: Timeout of copying a run. A copy of 1.8 GB takes 60 to 120 ms, and copies queue for
+#: each other.
 COPY_TIMEOUT = timedelta(seconds=1.5)
+#: Timeout of the report that tells whether an endpoint is a model engine.
 REPORT_TIMEOUT = timedelta(milliseconds=300)
-#: How long a report may take that a placement waits for. It takes no slot and two
-#: trips; one that is out of reach is given up as soon as a connection would be.
-ASK_TIMEOUT = timedelta(milliseconds=100)
+#: Timeout of a query that a placement waits for. The query takes no slot and two round
+#: trips; an unreachable endpoint is given up about as soon as a connection attempt.
+QUERY_TIMEOUT = timedelta(milliseconds=100)
 REPORT_PATH = b"/api/report"
-#: All cache events that it still has. They are told at once where there are some; a
-#: call that would wait for less than this is paid for as a probe.
+#: Requests all cache events that an endpoint still has. It answers at once if there are
+#: any; a request with a shorter maximum wait than the one below is charged as a probe.
 CACHE_EVENTS_PATH = b"/api/kv-events?since=0"
 CACHE_EVENTS_WAIT = ((b"Wait-Ms", b"200"),)
 
 
 class RunnerSender:
-    """Sends plain calls.
+    """Sends plain calls to endpoints.
 
     Args:
-        pool: The connections.
+        pool: The connection pool.
         clock: The clock.
-        recorder: Where what their answers say of endpoints is noted.
+        recorder: Records the directives in the answers.
     """
 
     def __init__(
@@ -110,14 +111,14 @@
 
 
 class RunnerEngine:
-    """A model engine whose answers are passed on event by event.
+    """A model engine whose answers are forwarded event by event.
 
     Args:
         endpoint: The endpoint.
-        pool: The connections.
+        pool: The connection pool.
         clock: The clock.
-        recorder: Where what its answers say of it is noted.
-        find_address: Returns where an endpoint listens, by its id.
+        recorder: Records the directives in the answers.
+        find_address: Returns the address of an endpoint by its id, or None.
     """
 
     reports_load = False
@@ -140,37 +141,39 @@
     async def generate(
         self, request: GenerationRequest, attempt: Attempt, prior: Sequence[int]
     ) -> "RunnerStream":
-        """Run a request, going on after the events that were delivered."""
+        """Run a request, continuing after the events that were delivered."""
         return await self._open(request, attempt, position=len(prior))
 
     async def attach(
         self, request: GenerationRequest, attempt: Attempt, *, position: int
     ) -> "RunnerStream":
-        """Go on from the replica that this endpoint keeps."""
+        """Resume a run from the replica that this endpoint keeps."""
         extra = [(b"Kv-From", attempt.resume_ref.encode())]
         return await self._open(request, attempt, position=position, extra=extra)
 
     async def cancel(self, generation_id: str, attempt: int) -> None:
-        """Do nothing: closing the connection has ended the run."""
+        """Do nothing: the engine stops a run when its connection closes."""
 
     async def copy_run(self, generation_id: str, target: str) -> str:
-        """Copy a run's state to another endpoint; the run goes on."""
+        """Copy a run's state to another endpoint while the run continues."""
         address = self._find_address(target)
         if address is None:
-            raise self._link.lost(LossKind.REFUSED, f"{target} is not known")
+            raise self._link.lost(LossKind.REFUSED, f"endpoint {target} is not known")
         order = encode_copy_order(generation_id, str(address))
-        body = await self._link.order(b"POST", b"/api/kv-move", order, COPY_TIMEOUT)
+        body = await self._link.call_interface(
+            b"POST", b"/api/kv-move", order, COPY_TIMEOUT
+        )
         return f"{self._link.address}/{decode_copy_handle(body)}"
 
     async def drop_copy(self, replica_ref: str, target: str) -> None:
-        """Let go of a copy at another endpoint; it may not hear."""
+        """Delete a copy at another endpoint; a failure is logged and ignored."""
         address = self._find_address(target)
         if address is None:
             return
         _, _, handle = replica_ref.partition("/")
         path = f"/api/kv-handle/{handle}".encode()
         try:
-            await self._link.order(
+            await self._link.call_interface(
                 b"DELETE",
                 path,
                 b"",
@@ -182,18 +185,20 @@
             log_event("replica", "Could not drop a copy.", peer=target, why=error)
 
     async def is_engine(self) -> bool:
-        """Return whether a model engine answers at its address."""
+        """Return whether the endpoint sends the report of a model engine."""
         try:
-            body = await self._link.order(b"GET", REPORT_PATH, b"", REPORT_TIMEOUT)
+            body = await self._link.call_interface(
+                b"GET", REPORT_PATH, b"", REPORT_TIMEOUT
+            )
         except AttemptLostError as error:
             log_event("successor", "No report.", peer=error.peer, why=error)
             return False
         return is_engine_report(body)
 
     async def count_waiting(self) -> int:
-        """Return how many runs there have no output yet."""
-        body = await self._link.order(
-            b"GET", REPORT_PATH, b"", ASK_TIMEOUT, names_endpoint=True
+        """Return the number of runs at the endpoint that have no output yet."""
+        body = await self._link.call_interface(
+            b"GET", REPORT_PATH, b"", QUERY_TIMEOUT, names_endpoint=True
         )
         try:
             return count_waiting_runs(body)
@@ -201,9 +206,9 @@
             raise self._link.lost(LossKind.RESUME_MISMATCH, str(error)) from error
 
     async def list_cached_prompts(self) -> frozenset[str]:
-        """Return the parts of prompts that its last cache events name."""
-        body = await self._link.order(
-            b"GET", CACHE_EVENTS_PATH, b"", ASK_TIMEOUT, headers=CACHE_EVENTS_WAIT
+        """Return the parts of prompts that the endpoint caches, by its cache events."""
+        body = await self._link.call_interface(
+            b"GET", CACHE_EVENTS_PATH, b"", QUERY_TIMEOUT, headers=CACHE_EVENTS_WAIT
         )
         try:
             return decode_cached_parts(body)
@@ -211,7 +216,7 @@
             raise self._link.lost(LossKind.RESUME_MISMATCH, str(error)) from error
 
     async def probe(self) -> LoadReport | None:
-        """Return none: reports lag, and each is paid for."""
+        """Return None: reports lag behind the load, and each one is charged."""
         return None
 
     async def is_reachable(self) -> bool:
@@ -219,7 +224,7 @@
         return await self._link.is_reachable()
 
     async def has_ended(self) -> bool:
-        """Return whether its address refuses connections."""
+        """Return whether the endpoint's address refuses connections."""
         return await self._link.is_refusing()
 
     async def _open(
--- a/passtally/platform/runner_link.py
+++ b/passtally/platform/runner_link.py
@@ -1,4 +1,4 @@
-"""Sends requests to one endpoint and checks that the answers are its own."""
+"""Sends requests to one endpoint and checks that the answers come from it."""
 
 from datetime import timedelta
 
@@ -20,29 +20,29 @@
 from passtally.retry import LossKind
 from passtally.settings import Address, parse_address
 
-#: How long a silent endpoint may take to accept a connection.
+#: Timeout of a connection attempt that checks whether an endpoint is reachable.
 REACH_TIMEOUT = timedelta(milliseconds=80)
-#: How long a process that ends may take to close its connections.
+#: Time in which an exiting process closes its connections.
 CLOSING_TIME = timedelta(milliseconds=10)
-#: Sent where the caller gave no limit.
-NO_DEADLINE = timedelta(seconds=30)
-#: The longest answer of an endpoint's own interface, in bytes.
-MAX_ORDER_BYTES = 1 << 20
-#: A request that was waited for this long and is then given up says that its endpoint's
-#: other idle connections may be silent, too: most answers take 50 ms, and one in a
-#: hundred 250 ms. A caller that leaves sooner says nothing of them.
+#: Time limit sent to the endpoint if the caller gave none.
+DEFAULT_TIME_LEFT = timedelta(seconds=30)
+#: Maximum size of an answer to :meth:`RunnerLink.call_interface`, in bytes.
+MAX_INTERFACE_BYTES = 1 << 20
+#: Minimum wait after which an abandoned request invalidates its endpoint's idle
+#: connections, since they may be silent as well. Most answers take 50 ms, and one in a
+#: hundred takes 250 ms, so an earlier end of the wait is no sign of silent connections.
 SILENT_AFTER = timedelta(milliseconds=500)
 _URL_PREFIX = "http://"
 
 
 class RunnerLink:
-    """Sends requests to one endpoint and checks that the answers are its own.
+    """Sends requests to one endpoint and checks that the answers come from it.
 
     Args:
         endpoint: The endpoint.
-        pool: The connections.
+        pool: The connection pool.
         clock: The clock.
-        recorder: Where what its answers say of it is noted.
+        recorder: Records the directives in the answers.
     """
 
     def __init__(
@@ -75,15 +75,15 @@
         Args:
             method: The method.
             target: The path and query, byte for byte.
-            headers: The headers; those of the system are added.
+            headers: The headers, without those that the system adds.
             body: The body.
-            workspace: Whose it is.
-            deadline: When it is given up, on the monotonic clock.
-            must_connect: Whether it is to be sent on a new connection.
+            workspace: The workspace that the request belongs to.
+            deadline: The time at which the caller gives up, on the monotonic clock.
+            must_connect: Whether to use a new connection instead of a pooled one.
 
         Raises:
-            AttemptLostError: No answer of this endpoint came, or it did not run
-                the request.
+            AttemptLostError: No answer of this endpoint arrived, or the endpoint did
+                not run the request.
         """
         try:
             connection = await self._pool.take(self.address, must_be_new=must_connect)
@@ -108,16 +108,19 @@
         return connection, head
 
     def release(self, connection: ClientConnection, head: ResponseHead) -> None:
-        """Keep a connection whose answer was read whole."""
+        """Return a connection to the pool after its answer was read completely."""
         self._pool.release(self.address, connection, head)
 
     def abandon(self, connection: ClientConnection) -> None:
-        """Close a connection that is waited for no more, and what may be as silent."""
+        """Close the connection of a request that is no longer waited for.
+
+        After a long wait the endpoint's idle connections are invalidated as well.
+        """
         connection.abort()
         if self._clock.monotonic() - connection.sent_at >= SILENT_AFTER:
             self._pool.invalidate(self.address)
 
-    async def order(
+    async def call_interface(
         self,
         method: bytes,
         path: bytes,
@@ -129,21 +132,21 @@
         names_endpoint: bool = False,
         headers: RawHeaders = (),
     ) -> bytes:
-        """Make a call to the endpoint's own interface and return its answer.
+        """Call the endpoint's management interface and return the body of the answer.
 
         Args:
             method: The method.
             path: The path.
-            body: The JSON, or nothing.
-            timeout: How long it may take.
-            address: Another endpoint's address, to ask that one instead.
-            endpoint_id: That endpoint.
-            names_endpoint: Whether another endpoint that has the address by now is
-                to refuse.
-            headers: More headers.
+            body: The JSON body; may be empty.
+            timeout: Timeout of the whole call.
+            address: The address of another endpoint to call instead of this one.
+            endpoint_id: The id of that other endpoint.
+            names_endpoint: Whether to send the expected endpoint's id, so that
+                another endpoint at a reused address rejects the call.
+            headers: Additional headers.
 
         Raises:
-            AttemptLostError: It was refused, or no answer came.
+            AttemptLostError: The call was rejected, or no answer arrived in time.
         """
         address = address or self.address
         headers = [
@@ -155,7 +158,7 @@
             headers.append((b"X-Expect-Instance", self.endpoint_id.encode()))
         start = self._recorder.start_of(endpoint_id or self.endpoint_id)
         if not self._recorder.may_query(start):
-            raise self.lost(LossKind.REFUSED, "it has asked for rest")
+            raise self.lost(LossKind.REFUSED, "the endpoint asked for a back-off")
         sent_at = self._clock.monotonic()
         try:
             answer = await self._pool.exchange(
@@ -164,7 +167,7 @@
                 path,
                 headers,
                 body,
-                most=MAX_ORDER_BYTES,
+                most=MAX_INTERFACE_BYTES,
                 timeout=timeout,
                 on_head=lambda head: self._record_directives(
                     head, start, sent_at=sent_at
@@ -193,8 +196,9 @@
     async def is_refusing(self) -> bool:
         """Return whether nothing listens at the endpoint's address.
 
-        A process that ends closes one descriptor after the other: a connection that
-        still comes up, and is closed at once, is looked at again.
+        An exiting process closes its descriptors one after the other, so its listener
+        may still accept connections. If a new connection is closed at once, the check
+        is repeated.
         """
         is_closing = True
         while is_closing:
@@ -208,7 +212,7 @@
         return False
 
     def lost(self, kind: LossKind, detail: str) -> AttemptLostError:
-        """Return the error for a loss at this endpoint."""
+        """Return the error for an attempt that was lost at this endpoint."""
         return AttemptLostError(
             kind, step="stream", peer=self.endpoint_id, detail=detail
         )
@@ -228,15 +232,15 @@
         *,
         sent_at: timedelta,
     ) -> None:
-        """Take in what an answer says of the endpoint that was asked."""
-        words = read_directives(
+        """Record the directives of an answer if it is the endpoint's own."""
+        directives = read_directives(
             head, endpoint_id=start.endpoint_id, request_id=request_id
         )
-        if words is not None:
-            self._recorder.record_directives(start, words, sent_at=sent_at)
+        if directives is not None:
+            self._recorder.record_directives(start, directives, sent_at=sent_at)
 
     def _replaced(self, head: ResponseHead) -> AttemptLostError:
-        """Return the error for an address that another endpoint has by now."""
+        """Return the error for an address that another endpoint has taken over."""
         successor = head.header(names.ANSWERED_BY) or b""
         return AttemptLostError(
             LossKind.REPLACED,
@@ -249,7 +253,7 @@
     def _system_headers(
         self, workspace: str, deadline: timedelta | None
     ) -> list[tuple[bytes, bytes]]:
-        left = NO_DEADLINE
+        left = DEFAULT_TIME_LEFT
         if deadline is not None:
             left = max(deadline - self._clock.monotonic(), timedelta(milliseconds=1))
         headers = [
@@ -264,7 +268,8 @@
         """Check that an answer is this endpoint's answer to the request.
 
         Raises:
-            AttemptLostError: It is not, or the endpoint did not run the request.
+            AttemptLostError: The answer is not, or the endpoint did not run the
+                request.
         """
         if head.header(names.REQUEST_ID) not in (None, request_id):
             raise self.lost(
--- a/passtally/platform/runner_stream.py
+++ b/passtally/platform/runner_stream.py
@@ -12,7 +12,7 @@
 from passtally.platform.runner_link import RunnerLink
 from passtally.retry import LossKind
 
-#: The longest event of a stream that is taken, in bytes.
+#: Maximum size of one event of a stream, in bytes.
 MAX_EVENT_BYTES = 1 << 20
 _EVENT_ID = re.compile(rb"^id:[ ]?(\d+)\r?$", re.MULTILINE)
 _EVENT_END = b"\n\n"
@@ -22,10 +22,10 @@
     """The events of one attempt; each event counts as one token.
 
     Args:
-        link: The endpoint.
-        connection: The connection that they come on.
+        link: The link to the endpoint.
+        connection: The connection that the events arrive on.
         head: The head of the answer.
-        position: The last event that was delivered before.
+        position: The number of the last event that was delivered before this attempt.
     """
 
     report: LoadReport | None = None
@@ -42,13 +42,13 @@
         self._connection = connection
         self._head = head
         self._position = position
-        self._rest = b""
-        self._is_whole = False
+        self._buffer = b""
+        self._is_complete = False
 
     async def read(self) -> list[TokenEvent]:
-        """Return the events that arrived together; none once it has ended."""
+        """Return the complete events of the next chunks; none after the end."""
         try:
-            while not self._is_whole:
+            while not self._is_complete:
                 chunk = await self._connection.read()
                 if not chunk:
                     return [self._end()]
@@ -60,16 +60,16 @@
         return []
 
     def close(self) -> None:
-        """Give the connection back after a whole answer, else drop it."""
-        if self._is_whole:
+        """Release the connection after a complete answer, otherwise abort it."""
+        if self._is_complete:
             self._link.release(self._connection, self._head)
         else:
             self._connection.abort()
 
     def _end(self) -> TokenEvent:
-        if self._rest.strip():
+        if self._buffer.strip():
             raise self._link.lost(LossKind.RESET, "the stream ended inside an event")
-        self._is_whole = True
+        self._is_complete = True
         return TokenEvent(
             position=self._position,
             token_ids=[],
@@ -79,11 +79,11 @@
         )
 
     def _decode(self, chunk: bytes) -> list[TokenEvent]:
-        """Return the whole events so far; a part event waits for its rest."""
-        *whole, self._rest = (self._rest + chunk).split(_EVENT_END)
-        if len(self._rest) > MAX_EVENT_BYTES:
+        """Return the complete events received so far; buffer a partial one."""
+        *complete, self._buffer = (self._buffer + chunk).split(_EVENT_END)
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise self._link.lost(LossKind.RESUME_MISMATCH, "an event is too long")
-        return [self._decode_one(raw + _EVENT_END) for raw in whole]
+        return [self._decode_one(raw + _EVENT_END) for raw in complete]
 
     def _decode_one(self, raw: bytes) -> TokenEvent:
         found = _EVENT_ID.search(raw)
--- a/passtally/platform/settings.py
+++ b/passtally/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file into the product's settings."""
+"""Translates the platform's settings file into the product's settings."""
 
 import hashlib
 import os
@@ -15,15 +15,17 @@
     variable_of,
 )
 
-#: Where a host's metrics are read; deploy/system.toml names the same port.
+#: Port of a host's metrics; deploy/system.toml names the same one.
 METRICS_PORT = 8750
 
-#: How long a stopping host still takes requests. The balancer asks once a second
-#: and lets go after two answers; the third second is for questions under way.
+#: Time that a stopping host still accepts requests. The balancer checks once a second
+#: and stops sending after two answers; the part of a third second covers checks that
+#: are already under way.
 BALANCER_LAG = "2500ms"
 
-#: Our settings and the keys they are read from. Their "front" is where callers come
-#: in, their "control" where hosts reach each other, their "node" is a host.
+#: The product's settings and the platform's keys that they are read from. The platform
+#: calls a host a "node", the address for callers "front", and the address for other
+#: hosts "control".
 _KEYS_BY_SETTING = {
     "host_id": "node_name",
     "region": "region",
@@ -38,15 +40,15 @@
     "trial_extra": "bounds.exposure_slack",
 }
 
-#: What the platform's keys with a default begin with.
-_KEYS_WITH_DEFAULTS = ("bounds.", "region")
+#: Prefixes of the platform's keys that have a default.
+_PREFIXES_WITH_DEFAULTS = ("bounds.", "region")
 
 
 def read_settings(path: Path) -> Settings:
     """Read and check a settings file.
 
-    The operators may hand out keys of their own for messages between hosts in the
-    environment, as the product's setting ``resume_keys``.
+    Operators may set the keys for messages between hosts in the environment, as the
+    product's setting ``resume_keys``.
 
     Raises:
         SettingsError: Some settings are missing or can't be used; all are named.
@@ -75,11 +77,12 @@
     Raises:
         SettingsError: Some are missing or can't be used; all are named.
     """
-    values_by_key = _leave_out_empty(values_by_key)
+    values_by_key = _drop_empty(values_by_key)
     texts = {
         name: values_by_key.get(key, None) for name, key in _KEYS_BY_SETTING.items()
     }
-    # The product's default is no place where the platform would send callers.
+    # Without an address this has to fail: the platform sends no callers to the
+    # product's default.
     texts["listen"] = texts["listen"] or ""
     texts["seeds"] = _pick_addresses(values_by_key.get("seeds", ""))
     store = values_by_key.get("platform.address")
@@ -97,17 +100,17 @@
         raise _name_keys(error) from error
 
 
-def _leave_out_empty(values_by_key: Mapping[str, str]) -> dict[str, str]:
-    """Leave out what is empty and has a default: the platform may know no value."""
+def _drop_empty(values_by_key: Mapping[str, str]) -> dict[str, str]:
+    """Drop empty values that have a default: the platform may not know a value."""
     return {
         key: value
         for key, value in values_by_key.items()
-        if value or not key.startswith(_KEYS_WITH_DEFAULTS)
+        if value or not key.startswith(_PREFIXES_WITH_DEFAULTS)
     }
 
 
 def _pick_addresses(text: str) -> str:
-    """Leave out what is no address: stale seeds must not keep a host from starting."""
+    """Drop seeds that are no address: stale ones must not keep a host from starting."""
     picked: list[str] = []
     for item in text.split(","):
         if not item.strip():
@@ -115,14 +118,14 @@
         try:
             picked.append(str(parse_address(item.strip())))
         except ValueError as error:
-            log_event("daemon", "Passed over a seed.", seed=item, why=error)
+            log_event("daemon", "Skipped an invalid seed.", seed=item, why=error)
     return ",".join(picked)
 
 
 def _derive_key(values_by_key: Mapping[str, str]) -> str:
-    """Return a key that all hosts of one installation have, and others don't.
+    """Derive a key that is shared by the hosts of one installation only.
 
-    The platform hands out no secret. The key keeps hosts from hearing those of
+    The platform provides no secret. The key keeps hosts from accepting messages of
     another installation at a reused address; it is no defence against an attacker.
     """
     shared = sorted(
@@ -134,7 +137,7 @@
 
 
 def _name_keys(error: SettingsError) -> SettingsError:
-    """Return the error with the settings file's own names."""
+    """Return the error with the settings file's keys in place of the flags."""
     keys_by_flag = {
         "--" + name.replace("_", "-"): key for name, key in _KEYS_BY_SETTING.items()
     }
--- a/passtally/platform/settings_file.py
+++ b/passtally/platform/settings_file.py
@@ -1,6 +1,6 @@
-"""The platform's settings file, read with the standard library alone.
+"""Reads the platform's settings file with the standard library alone.
 
-It is looked at before the rest of the program is imported: see ``__main__``.
+This runs before the rest of the program is imported: see ``__main__``.
 """
 
 import os
@@ -9,20 +9,20 @@
 
 #: The environment variable with the path of the settings file.
 FILE_VARIABLE = "PASSTALLY_CONFIG"
-#: Where callers come in, as IP:PORT.
+#: The key of the address that callers connect to, as IP:PORT.
 FRONT_KEY = "listen.front"
 LISTEN_BACKLOG = 2048
 
 
 def settings_path() -> Path:
-    """Return where the settings file lies."""
+    """Return the path of the settings file from the environment."""
     return Path(os.environ.get(FILE_VARIABLE, ""))
 
 
 def read_text(path: Path) -> str:
-    """Read a settings file; bytes that are no text stand for nothing in particular.
+    """Read a settings file, with U+FFFD in place of bytes that are not UTF-8.
 
-    A host can do without them: fields that it does not know may hold any.
+    A host can do without them: keys that it does not know may hold any bytes.
 
     Raises:
         OSError: The file can't be read.
@@ -31,7 +31,7 @@
 
 
 def parse_lines(text: str) -> dict[str, str]:
-    """Read lines of the form ``a.b=value``; others are passed over."""
+    """Parse lines of the form ``a.b=value``; other lines are skipped."""
     values_by_key = {}
     for line in text.splitlines():
         key, separator, value = line.partition("=")
@@ -41,15 +41,15 @@
 
 
 def listen_early(path: Path) -> socket.socket:
-    """Listen where callers come in.
+    """Listen at the address for callers before the program is loaded.
 
-    Connections that come now wait until the program is loaded, instead of being
-    refused. What is wrong with the settings is told when they are checked.
+    Connections that arrive meanwhile wait instead of being refused. Problems of the
+    settings are reported later, when the settings are checked.
 
     Raises:
-        ValueError: The settings don't tell.
-        OverflowError: The port is no port.
-        OSError: The file can't be read, or the address can't be had now.
+        ValueError: The settings name no valid address.
+        OverflowError: The port is out of range.
+        OSError: The file can't be read, or the address can't be bound.
     """
     address = parse_lines(read_text(path)).get(FRONT_KEY, "")
     host, _, port = address.rpartition(":")
--- a/passtally/platform/settings_watch.py
+++ b/passtally/platform/settings_watch.py
@@ -1,4 +1,4 @@
-"""Reads the settings file again when it has changed, with or without a signal."""
+"""Reloads the settings file when it has changed, with or without a signal."""
 
 import asyncio
 from datetime import timedelta
@@ -11,23 +11,24 @@
 from passtally.platform.settings_file import read_text
 from passtally.settings import SettingsError
 
-#: How long after its start a host first looks: what it started with may have been half
-#: written.
-FIRST_LOOK = timedelta(seconds=1)
-#: How often it looks then.
-LOOK_INTERVAL = timedelta(seconds=5)
-#: A file that has changed is taken once it stays the same for so long, since it may
-#: still be being written; one that goes on changing is taken after the longer time.
+#: Delay of the first check after a start: the file that the host started with may have
+#: been incomplete.
+FIRST_CHECK_DELAY = timedelta(seconds=1)
+#: Interval between later checks.
+CHECK_INTERVAL = timedelta(seconds=5)
+#: Time for which a changed file must stay the same before it is applied, since its
+#: writer may not have finished.
 SETTLE_TIME = timedelta(milliseconds=100)
+#: Time after which a file that keeps changing is applied as it is.
 MAX_SETTLE = timedelta(seconds=1)
 
 
 class SettingsWatch:
-    """Hands settings that have changed to a host.
+    """Applies changed settings to a host.
 
     Args:
         path: The settings file.
-        host: Takes them.
+        host: The host that is reloaded.
         clock: The clock.
     """
 
@@ -36,23 +37,23 @@
         self._host = host
         self._clock = clock
         self._signalled = asyncio.Event()
-        #: What was last read from the file, and taken or refused.
+        #: The last text of the file that was applied or rejected.
         self._known: str | None = None
-        #: Why it could not be used, as last told.
+        #: The last logged reason why the file could not be used.
         self._problem = ""
 
-    def look_soon(self) -> None:
-        """Look at once: a signal says that the file has changed."""
+    def check_now(self) -> None:
+        """Check the file at once, because of a signal."""
         self._signalled.set()
 
     async def run(self) -> None:
-        """Look at the file now and then, and at each signal, for ever."""
-        pause = FIRST_LOOK
+        """Check the file periodically and at each signal, forever."""
+        pause = FIRST_CHECK_DELAY
         while True:
-            is_told = await self._wait(pause)
+            is_signalled = await self._wait(pause)
             self._signalled.clear()
-            await self._look(is_told=is_told)
-            pause = LOOK_INTERVAL
+            await self._check(is_signalled=is_signalled)
+            pause = CHECK_INTERVAL
 
     async def _wait(self, pause: timedelta) -> bool:
         """Wait for a signal, and return whether one came."""
@@ -63,34 +64,34 @@
             return False
         return True
 
-    async def _look(self, *, is_told: bool) -> None:
+    async def _check(self, *, is_signalled: bool) -> None:
         try:
             text = await self._read_settled()
-            if text == self._known and not is_told:
+            if text == self._known and not is_signalled:
                 return
             self._known = text
             settings = translate_text(text)
         except (SettingsError, OSError) as error:
-            self._tell_kept(str(error), is_told=is_told)
+            self._log_kept(str(error), is_signalled=is_signalled)
             return
         self._problem = ""
-        if is_told or settings != self._host.settings:
+        if is_signalled or settings != self._host.settings:
             self._host.reload(settings)
         if settings != self._host.settings:
-            # Something could not be taken now: the next look tries it again.
+            # Some change could not be applied now: the next check retries it.
             self._known = None
 
-    def _tell_kept(self, problem: str, *, is_told: bool) -> None:
+    def _log_kept(self, problem: str, *, is_signalled: bool) -> None:
         """Log why the old settings stay in force, once for each reason or signal."""
-        if is_told or problem != self._problem:
+        if is_signalled or problem != self._problem:
             log_event("daemon", "Kept the old settings.", path=self._path, why=problem)
         self._problem = problem
 
     async def _read_settled(self) -> str:
-        """Return what the file holds once it has stopped changing.
+        """Return the text of the file once it has stopped changing.
 
         Raises:
-            OSError: It can't be read.
+            OSError: The file can't be read.
         """
         text = read_text(self._path)
         until = self._clock.monotonic() + MAX_SETTLE
--- a/passtally/platform/store.py
+++ b/passtally/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's object store, as far as the product reads it on the platform."""
+"""The client of the platform's object store: listings, watches and status updates."""
 
 import re
 from collections.abc import Collection, Sequence
@@ -22,19 +22,19 @@
 )
 from passtally.platform import names
 from passtally.platform.readable_json import (
-    leave_out_deep_values,
-    replace_half_characters,
+    replace_deep_values,
+    replace_lone_surrogates,
 )
 from passtally.store_order import MAX_ERA, era_of, revision_of, version_of
 
-#: How much later than it was asked to a watch may answer. A store that is slow
-#: takes 60 times its usual 4 ms.
+#: Time beyond the requested wait after which a watch times out. A slow store takes 60
+#: times its usual 4 ms.
 WATCH_SLACK = timedelta(milliseconds=400)
-#: How long a listing may take to begin to come; a slow store takes 60 times its usual
-#: 4 ms. Hosts list first when a store that was silent may be back, and each try that
-#: does not end makes the next one later.
+#: Timeout until a listing begins to arrive; a slow store takes 60 times its usual 4 ms.
+#: A listing is a host's first call to a silent store that may have recovered, and each
+#: attempt that hangs delays the next one.
 LIST_TIMEOUT = timedelta(seconds=1)
-#: How long writing a status may take; a slow store takes 60 times its usual 4 ms.
+#: Timeout of a status update; a slow store takes 60 times its usual 4 ms.
 STATUS_TIMEOUT = timedelta(seconds=1)
 #: An era in decimal; no revision or version is as long.
 ERA = re.compile(rb"[0-9]{1,12}")
@@ -51,7 +51,7 @@
 class _Object(msgspec.Struct):
     metadata: _Metadata
     spec: msgspec.Raw = msgspec.Raw(REMOVED)
-    #: Written by whoever carries out what the content asks for.
+    #: Written by the component that carries out the specification.
     status: msgspec.Raw = msgspec.Raw(b"null")
 
 
@@ -61,14 +61,14 @@
 
 
 class _Page(msgspec.Struct):
-    #: Each an :class:`_Object`; other writers' may not be.
+    #: Each is an :class:`_Object`, unless another writer made it.
     items: list[msgspec.Raw]
     store_revision: int
     has_more: bool = False
 
 
 class _Changes(msgspec.Struct):
-    #: Each an :class:`_Event`; other writers' may not be.
+    #: Each is an :class:`_Event`, unless another writer made it.
     events: list[msgspec.Raw]
     store_revision: int
 
@@ -78,31 +78,31 @@
 
     Args:
         fetcher: Makes the calls.
-        url: Where the store listens.
-        whole_prefixes: What the keys of those objects start with whose value is all
-            that the store keeps of them, not their content alone.
+        url: The URL of the store.
+        full_object_prefixes: Prefixes of the keys of objects whose value is the whole
+            stored object, with metadata and status, instead of the spec alone.
     """
 
     def __init__(
-        self, *, fetcher: Fetcher, url: str, whole_prefixes: Collection[str] = ()
+        self, *, fetcher: Fetcher, url: str, full_object_prefixes: Collection[str] = ()
     ) -> None:
         self._link = StoreLink(fetcher=fetcher, url=url, on_answer=self._record_era)
-        #: The highest era that an answer told; 0 where none did.
+        #: The highest era in an answer so far; 0 if no answer had one.
         self._era = 0
-        #: What an answer told last that is no era.
-        self._odd_era: bytes | None = None
-        self._whole_prefixes = whole_prefixes
+        #: The last era header that could not be decoded.
+        self._invalid_era: bytes | None = None
+        self._full_object_prefixes = full_object_prefixes
         self.calls = 0
 
     def move(self, url: str) -> None:
-        """Make further calls at another address, whose eras are its own."""
+        """Make further calls at another address, which counts its own eras."""
         self._era = 0
         self._link.move(url)
 
     async def list_objects(self, prefix: str) -> Listing:
         """Return the objects of a kind, at the version of the first page.
 
-        Changes between two pages are seen again by the watch that follows.
+        The watch that follows also reports the changes between two pages.
         """
         objects: list[StoredObject] = []
         version: int | None = None
@@ -114,25 +114,25 @@
                 version = version_of(era, page.store_revision)
             elif era != era_of(version):
                 raise self._superseded("list")
-            items = _read_each(prefix, page.items, _Object)
+            items = _decode_each(prefix, page.items, _Object)
             objects += [self._to_stored(prefix, item, era) for item in items]
             if not page.has_more or not page.items:
                 return Listing(version=version, objects=tuple(objects))
             if not items:
-                # A listing that leaves the rest out would take it for removed.
+                # A listing without the remaining pages would count as their removal.
                 raise UnavailableError(
-                    "no object of a page can be read", step="list", peer=prefix
+                    "no object of the page can be decoded", step="list", peer=prefix
                 )
             after = items[-1].metadata.name
 
     async def watch(
         self, prefix: str, *, after: int, wait: timedelta = WATCH_TIMEOUT
     ) -> Listing:
-        """Wait for changes after a version; an empty listing on a quiet wait.
+        """Wait for changes after a version; return an empty listing if none occur.
 
         Raises:
-            TooOldError: The version is of an earlier era: the same revision names
-                another state by now, and what came before it is not known.
+            TooOldError: The version is of an earlier era: the same revision now names
+                another state, and the changes before it are not known.
         """
         if era_of(after) < self._era:
             raise self._too_old(after)
@@ -146,7 +146,7 @@
             raise self._too_old(after)
         objects = tuple(
             self._to_stored(prefix, event.object, era, is_removed=event.removed)
-            for event in _read_each(prefix, changes.events, _Event)
+            for event in _decode_each(prefix, changes.events, _Event)
         )
         version = version_of(era, changes.store_revision)
         return Listing(version=version, objects=objects)
@@ -155,13 +155,13 @@
         """Replace an object's status, unless the object has changed.
 
         Args:
-            key: The object.
+            key: The object's key.
             body: The status, and the revision of the object that it was made from.
-            version: The version of that: a later era may have given the revision to
-                another state.
+            version: The version that belongs to this revision. It includes the era,
+                since in a later era the revision may name another state.
 
         Raises:
-            PlatformError: It was not done, or it is not known whether it was.
+            PlatformError: The update failed, or its outcome is not known.
         """
         if era_of(version) != self._era:
             raise ConflictError("another era has begun", step="status", peer=key)
@@ -176,23 +176,25 @@
         )
 
     def _record_era(self, fetched: Fetched) -> None:
-        """Take in the era that an answer tells, whatever else it says."""
+        """Record the era of an answer, whatever else the answer contains."""
         text = find_header(fetched.headers, names.STORE_ERA)
         try:
             era = decode_era(text)
         except ValueError:
-            if text != self._odd_era:
-                self._odd_era = text
-                log_event("store", "Not an era.", told=text.decode("latin-1"))
+            if text != self._invalid_era:
+                self._invalid_era = text
+                log_event(
+                    "store", "Ignored an invalid era.", told=text.decode("latin-1")
+                )
             return
         if era <= self._era:
             return
         if self._era:
-            log_event("store", "Came back from an older copy.", era=era, was=self._era)
+            log_event("store", "Restored from an older copy.", era=era, was=self._era)
         self._era = era
 
     def _is_of_earlier_era(self, fetched: Fetched) -> bool:
-        """Return whether an answer was made before the store came back."""
+        """Return whether an answer was made before the store was restored."""
         text = find_header(fetched.headers, names.STORE_ERA)
         try:
             return text is not None and decode_era(text) < self._era
@@ -210,7 +212,7 @@
         self, prefix: str, item: _Object, era: int, *, is_removed: bool = False
     ) -> StoredObject:
         value = item.spec
-        if prefix in self._whole_prefixes:
+        if prefix in self._full_object_prefixes:
             value = msgspec.Raw(msgspec.json.encode(item))
         return StoredObject(
             key=prefix + item.metadata.name,
@@ -229,7 +231,7 @@
         """Make a call and return the era of its answer, and the answer.
 
         Raises:
-            PlatformError: It failed, or a newer era was heard of meanwhile.
+            PlatformError: The call failed, or a newer era was recorded meanwhile.
         """
         self.calls += 1
         path = f"/api/objects/{quote(prefix.rstrip('/'))}"
@@ -239,19 +241,21 @@
         era = self._era
         if self._is_of_earlier_era(fetched):
             raise self._superseded(step)
-        body = replace_half_characters(fetched.body)
+        body = replace_lone_surrogates(fetched.body)
         try:
             return era, self._link.decode(step, body, kind)
         except RecursionError:
-            log_event("store", "Left out what is nested too deep.", prefix=prefix)
-            return era, self._link.decode(step, leave_out_deep_values(body), kind)
+            log_event(
+                "store", "Replaced values nested too deep by null.", prefix=prefix
+            )
+            return era, self._link.decode(step, replace_deep_values(body), kind)
 
 
 def decode_era(text: bytes | None) -> int:
-    """Read the era that an answer tells; 0 where it tells none.
+    """Decode the era of an answer; return 0 for an answer without one.
 
     Raises:
-        ValueError: It is no era.
+        ValueError: The text is not an era.
     """
     if text is None:
         return 0
@@ -260,12 +264,15 @@
     return int(text)
 
 
-def _read_each(prefix: str, raws: Sequence[msgspec.Raw], kind: type[T]) -> list[T]:
-    """Return the objects that can be read; another writer's may not be."""
+def _decode_each(prefix: str, raws: Sequence[msgspec.Raw], kind: type[T]) -> list[T]:
+    """Decode objects one by one; log and skip those that can't be decoded.
+
+    Objects of other writers may not match the schema.
+    """
     read: list[T] = []
     for raw in raws:
         try:
             read.append(msgspec.json.decode(raw, type=kind))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-            log_event("store", "Passed over an object.", prefix=prefix, why=error)
+            log_event("store", "Skipped an invalid object.", prefix=prefix, why=error)
     return read
--- a/tests/busy_machine.py
+++ b/tests/busy_machine.py
@@ -1,12 +1,13 @@
-"""Other processes that take the machine's processors."""
+"""Load on the machine's processors from other processes."""
 
 import contextlib
 import subprocess
 import sys
 from collections.abc import Iterator
 
-#: They end by themselves after this, in seconds, whatever becomes of the test.
-LONGEST = 40
+#: Time after which the processes exit by themselves, in seconds, even if the test is
+#: killed.
+MAX_SECONDS = 40
 _PROGRAM = """
 import os, sys, time
 if len(sys.argv) > 2:
@@ -19,13 +20,13 @@
 
 @contextlib.contextmanager
 def busy_machine(processes: int, *, core: int | None = None) -> Iterator[None]:
-    """Let other processes take the processors.
+    """Keep the processors busy with other processes.
 
     Args:
-        processes: How many.
-        core: The one that they share; None for all.
+        processes: The number of processes.
+        core: The core that all of them share; None for no restriction.
     """
-    command = [sys.executable, "-c", _PROGRAM, str(LONGEST)]
+    command = [sys.executable, "-c", _PROGRAM, str(MAX_SECONDS)]
     if core is not None:
         command.append(str(core))
     busy = [subprocess.Popen(command) for _ in range(processes)]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What process tests share."""
+"""Fixtures of the process tests, and the handling of tests that are known to fail."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -11,8 +11,8 @@
 from standins.model import answer_to
 from standins.processes import Processes
 
-#: Tests that fail for a fault that is not mended yet, one a line: the id of a test or
-#: of all tests of a subject, then how to run it, what was seen and its issue.
+#: Tests that fail because of a known fault, one per line: the id of a test, a class or
+#: a parametrized test, then the command, the observed failure and the issue.
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 HOSTS = {"entry-a": "pilar", "entry-b": "tigre", "entry-c": "escobar"}
@@ -21,25 +21,25 @@
 
 
 def read_known_red() -> dict[str, str]:
-    """Return what is told of each test that is known to fail, by the test's id."""
+    """Return the description of each test that is known to fail, by the test's id."""
     if not KNOWN_RED.exists():
         return {}
     entries = (line.partition(" ") for line in KNOWN_RED.read_text().splitlines())
-    return {test: told.strip() for test, _, told in entries if test}
+    return {test: details.strip() for test, _, details in entries if test}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Pass over the tests that are known to fail, and no others."""
-    for test, told in read_known_red().items():
+    """Mark the tests that are known to fail, and no others, as expected failures."""
+    for test, details in read_known_red().items():
         for item in items:
             if item.nodeid == test or item.nodeid.startswith((f"{test}::", f"{test}[")):
-                item.add_marker(pytest.mark.xfail(reason=told, strict=False))
+                item.add_marker(pytest.mark.xfail(reason=details, strict=False))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print what is known to fail, with each run."""
-    for test, told in read_known_red().items():
-        terminalreporter.write_line(f"known to fail: {test} {told}")
+    """Print the tests that are known to fail, in each run."""
+    for test, details in read_known_red().items():
+        terminalreporter.write_line(f"known to fail: {test} {details}")
 
 
 class System:
@@ -63,7 +63,7 @@
         return [p for name, p in self.processes.by_name.items() if "runner" in name]
 
     def url(self, host: str) -> str:
-        """Return where an entry host listens."""
+        """Return the URL of an entry host."""
         return self[host].url
 
     def busy_engine(self):
@@ -94,7 +94,7 @@
 
 @pytest.fixture
 def system(tmp_path: Path) -> Iterator[System]:
-    """Three hosts in three failure domains, three engines, the platform."""
+    """Start a platform, three engines and three hosts in three failure domains."""
     with Processes(tmp_path) as processes:
         processes.start_platform()
         engines = [
@@ -109,11 +109,11 @@
 
 
 class At:
-    """Calls an action once, when an answer has come so far.
+    """Calls an action once, when an answer has a given number of events.
 
     Args:
-        events: After how many events.
-        action: What to do.
+        events: The number of events.
+        action: The action.
     """
 
     def __init__(self, events: int, action: Callable[[], None]) -> None:
@@ -122,7 +122,7 @@
         self._action = action
 
     def __call__(self, answer: Answer) -> None:
-        """Look at the answer after one event."""
+        """Check the number of events; called after each one."""
         if not self.done and answer.events >= self._events:
             self.done = True
             self._action()
--- a/tests/endpoint_load.py
+++ b/tests/endpoint_load.py
@@ -1,4 +1,4 @@
-"""A few linked hosts before endpoints of one service, and a steady load on them."""
+"""Linked hosts with endpoints of one service, under a steady load."""
 
 import asyncio
 
@@ -7,20 +7,20 @@
 from standins.platform_config import LOOKUPS, make_config
 from tests.platform_system import Answer, PlatformSystem
 
-#: Requests a second, at the hosts in turn.
+#: Request rate in requests per second, over all hosts in turn.
 RATE = 24
 HOSTS = 3
 
 
 @attrs.frozen(kw_only=True)
 class Sent:
-    """A request that a caller sent, and what it got.
+    """A request that a caller sent, and its answer.
 
     Attributes:
-        id: Its id.
-        host: The number of the host that it was sent to.
-        sent_at: When, by the loop's time in seconds.
-        answered_at: When its answer was whole.
+        id: The request's id.
+        host: The index of the host that received it.
+        sent_at: Time of sending, by the event loop's clock in seconds.
+        answered_at: Time at which the answer was complete, by the same clock.
         answer: The answer.
     """
 
@@ -32,12 +32,12 @@
 
     @property
     def took(self) -> float:
-        """How long its caller waited, in seconds."""
+        """The time that the caller waited, in seconds."""
         return self.answered_at - self.sent_at
 
 
 async def start_linked(system: PlatformSystem, service: str, *, endpoints: int) -> None:
-    """Start some endpoints, and hosts that hear each other."""
+    """Start endpoints and hosts, and wait until all hosts are linked."""
     system.store.put("config", "main", make_config())
     for number in range(endpoints):
         await system.add_runner(f"i-{number}", service, events=2, gap=0.0)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces."""
+"""In-memory fakes of the product's interfaces."""
 
 import asyncio
 from collections import deque
@@ -21,10 +21,10 @@
 
 
 class FakePlatform:
-    """The object API in memory, with a list of faults to come.
+    """The object API in memory, with a queue of faults to inject.
 
-    Each call takes the next fault: ``ok``, ``down`` (nothing happens), ``lost``
-    (a write takes effect, its answer is lost) or ``late`` (the answer is lost,
+    Each call uses the next fault: ``ok``, ``down`` (nothing happens), ``lost``
+    (a write takes effect, but its answer is lost) or ``late`` (the answer is lost,
     and the write takes effect only at a later call).
     """
 
@@ -124,7 +124,7 @@
 def make_catalog(
     services: Sequence[Service], endpoints: Sequence[Endpoint] = ()
 ) -> Catalog:
-    """Return a catalog with these objects in force."""
+    """Return a catalog with these services and endpoints."""
     kinds = [("services", item) for item in services]
     kinds += [("endpoints", item) for item in endpoints]
     objects = tuple(
--- a/tests/host_process.py
+++ b/tests/host_process.py
@@ -1,4 +1,4 @@
-"""One host on the platform as a process of its own, beside a store."""
+"""One host on the platform as a separate process, with a stand-in for the store."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
 """
 
 
-#: What a host gets of its caller's variables.
+#: The environment variables that a host inherits from the test.
 _ENVIRONMENT = {
     name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ
 }
@@ -47,8 +47,8 @@
     """Start the process as the deploy file does.
 
     Args:
-        path: Its settings file.
-        log: Where its standard output goes.
+        path: The host's settings file.
+        log: The file for its standard output.
         prepare: Called in the new process before the program is loaded.
     """
     with log.open("wb") as output:
@@ -62,18 +62,18 @@
 
 
 def limit_descriptors(most: int) -> Callable[[], None]:
-    """Return what lets a process that is being started have so many descriptors."""
+    """Return a ``prepare`` function that limits a process's open file descriptors."""
     return partial(resource.setrlimit, resource.RLIMIT_NOFILE, (most, most))
 
 
 def messages(log: Path) -> list[str]:
-    """Return what the process has logged."""
+    """Return the messages in the process's log."""
     lines = log.read_bytes().splitlines()
     return [msgspec.json.decode(line)["message"] for line in lines]
 
 
 async def wait_for(log: Path, text: str) -> None:
-    """Wait until the process has logged something."""
+    """Wait until the process has logged a message that contains a text."""
     until = time.monotonic() + 20
     while not any(text in message for message in messages(log)):
         assert time.monotonic() < until, messages(log)
@@ -83,7 +83,7 @@
 async def connect(
     port: int, host: str = "127.0.0.1"
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Connect as soon as something listens at a port."""
+    """Connect as soon as a listener accepts connections at a port."""
     until = time.monotonic() + 20
     while True:
         try:
@@ -94,10 +94,10 @@
 
 
 def own_address() -> str:
-    """Return a loopback address of this run alone.
+    """Return a loopback address that only this run of the tests uses.
 
-    Metrics are read at a port that is the same on each host, so that a second run of
-    these tests on one machine would find it taken, and its host would not start.
+    The metrics port is the same on each host: in a second run on the same machine and
+    address it would be in use, and the host would not start.
     """
     number = os.getpid()
     return f"127.{number // 250 % 200 + 20}.{number % 250 + 1}.9"
@@ -105,16 +105,16 @@
 
 @attrs.frozen(kw_only=True)
 class Place:
-    """Where one host is to run.
+    """The files and addresses of one host.
 
     Attributes:
-        path: Its settings file.
-        log: Where its log goes.
+        path: The settings file.
+        log: The log file.
         front: The port for callers.
         ready: The port for the balancer.
         control: The port for other hosts.
-        ip: The address of its metrics.
-        store: The store.
+        ip: The address for metrics.
+        store: The stand-in of the store.
     """
 
     path: Path
@@ -127,7 +127,7 @@
 
     @property
     def addresses_by_name(self) -> dict[str, tuple[str, int]]:
-        """All that it listens at."""
+        """The addresses of all listeners of the host."""
         return {
             "callers": ("127.0.0.1", self.front),
             "readiness": ("127.0.0.1", self.ready),
@@ -138,7 +138,7 @@
 
 @attrs.frozen(kw_only=True)
 class Running(Place):
-    """One host process and where it is reached."""
+    """A host's process with its files and addresses."""
 
     process: subprocess.Popen
 
@@ -182,7 +182,7 @@
 async def started(
     place: Place, *, prepare: Callable[[], None] | None = None
 ) -> AsyncIterator[Running]:
-    """Start a host's process; it is ended in any case."""
+    """Start a host's process and kill it at the end if it still runs."""
     process = start(place.path, place.log, prepare=prepare)
     try:
         yield Running(process=process, **attrs.asdict(place, recurse=False))
@@ -194,7 +194,7 @@
 
 
 async def is_ready(host: Place) -> bool:
-    """Ask once, as the balancer does."""
+    """Return the result of one readiness check, as the balancer makes it."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", host.ready)
         writer.write(b"GET /api/ready HTTP/1.1\r\nHost: h\r\n\r\n")
--- a/tests/platform_system.py
+++ b/tests/platform_system.py
@@ -1,4 +1,4 @@
-"""A host on the platform, in this process, before stand-ins."""
+"""Hosts on the platform in the test's process, with stand-ins for all else."""
 
 import asyncio
 import contextlib
@@ -19,20 +19,21 @@
 from standins.platform_config import ENGINE, KEY
 from standins.runner import RunnerStandIn
 
-#: Where tests draw their ports from. A tenth of each is no port of the system's.
+#: The range from which tests draw their ports. A settings file that is cut short names
+#: a tenth of such a port, which is still above the system ports, 0 to 1023.
 FIRST_PORT, PORTS = 11_000, 20_000
 _port_numbers = itertools.count(random.Random(os.getpid()).randrange(PORTS))
 
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """What a caller got.
+    """The answer that a caller received.
 
     Attributes:
-        status: The status, 0 where none came.
+        status: The status, 0 if no answer arrived.
         headers: The headers, with names in lower case.
         body: The body, without its framing.
-        is_whole: Whether it looked complete.
+        is_whole: Whether the answer looked complete to the caller.
     """
 
     status: int
@@ -54,7 +55,7 @@
     async def add_runner(
         self, name: str, service: str = ENGINE, *, zone: str = "pilar", **fields: Any
     ) -> RunnerStandIn:
-        """Start an endpoint and enter it in the store."""
+        """Start an endpoint and put its entry into the store."""
         runner = RunnerStandIn(name, find=self._find, **fields)
         await runner.start()
         self.runners[name] = runner
@@ -72,10 +73,11 @@
         """Start a host.
 
         Args:
-            name: Its name.
-            seeds: Where it finds others.
-            store_port: Where it looks for the store, if not where the store is.
-            bounds: More bounds that it is told.
+            name: The host's name.
+            seeds: The addresses of other hosts, separated by commas.
+            store_port: The port at which the host calls the store, if it is not the
+                store's own.
+            bounds: Additional settings under ``bounds.``.
         """
         if not self._store_port:
             self._store_port = await self.store.start()
@@ -109,14 +111,14 @@
         return host
 
     async def wait_ready(self, endpoints: int | None = None) -> None:
-        """Wait until all hosts know the configuration and the endpoints."""
+        """Wait until all hosts have the configuration and the number of endpoints."""
         wanted = len(self.runners) if endpoints is None else endpoints
         for host in self.hosts:
             while not host.is_ready or len(host.catalog.endpoints_by_id) != wanted:
                 await asyncio.sleep(0.01)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the hosts, the endpoints and the store."""
         for host in self.hosts:
             await host.stop()
         for runner in self.runners.values():
@@ -151,7 +153,7 @@
             writer.close()
 
     async def stream(self, path: str = "/draft/1", **options: Any) -> Answer:
-        """Send a request for a stream."""
+        """Send a streaming request with a prompt and read its answer to the end."""
         fields = {
             "X_Model": "m",
             "X_Token_Usage": "500,100",
@@ -168,7 +170,7 @@
 
 
 def run(test: Callable[[PlatformSystem], Awaitable[None]]) -> None:
-    """Run a test before a system that is stopped afterwards."""
+    """Run a test with a system that is stopped afterwards."""
 
     async def main() -> None:
         system = PlatformSystem()
@@ -187,10 +189,10 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody has, for hosts that bind them later.
+    """Return unused ports for hosts that bind them later.
 
-    They are of a range from which the kernel gives none to connections, or to listeners
-    that ask for any, and other runs of these tests begin elsewhere in it.
+    The kernel assigns no ports of this range to connections or to listeners on port 0,
+    and concurrent runs of the tests start at other ports of the range.
     """
     ports: list[int] = []
     while len(ports) < count:
--- a/tests/test_entry_host_imports.py
+++ b/tests/test_entry_host_imports.py
@@ -1,10 +1,10 @@
-"""What an entry host on the users' platform loads."""
+"""The modules that an entry host on the platform imports."""
 
 import subprocess
 import sys
 
-#: What is left out, and what stands in its place.
-LEFT_OUT = {
+#: Modules that must not be imported, with what the host uses instead.
+NOT_IMPORTED = {
     "sismic": "the charts' tables, made by chart_reader",
     "ruamel": "the charts' tables, made by chart_reader",
     "passtally.chart_reader": "the charts' tables, made by chart_reader",
@@ -19,7 +19,7 @@
 
 
 def loaded_modules() -> set[str]:
-    """Return what a new process has loaded once it could run an entry host."""
+    """Return the modules of a new process that is ready to run an entry host."""
     program = "import sys, passtally.platform.process; print(*sys.modules)"
     done = subprocess.run(
         [sys.executable, "-c", program],
@@ -32,12 +32,12 @@
 
 
 class TestEntryHostImports:
-    def test_what_it_does_not_use_is_not_loaded(self):
-        """Some 200 hosts start some 400 times a day, and callers wait meanwhile.
+    def test_unused_modules_are_not_imported(self):
+        """Guards against slower starts: callers wait while a host starts.
 
-        These took 3 MB of each host's memory and 10 of some 180 ms of processor time
-        of its start.
+        Some 200 hosts start some 400 times a day. These modules took 3 MB of each
+        host's memory, and 10 of the about 180 ms of processor time of a start.
         """
         loaded = loaded_modules()
         assert "passtally.front_host" in loaded
-        assert not {name: LEFT_OUT[name] for name in LEFT_OUT if name in loaded}
+        assert not {name: NOT_IMPORTED[name] for name in NOT_IMPORTED if name in loaded}
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -1,7 +1,7 @@
-"""Entries of endpoints that another writer made: unreadable, or of what is not named.
+"""Endpoint entries of other writers that can't be decoded, or name an unknown service.
 
-Such an entry names no endpoint to use, and takes nothing from the others: one that
-could not be read among 500 would fail their whole listing, again and again.
+Guards against one such entry that affects the other endpoints: among 500 objects, one
+that can't be decoded would make each listing fail. No request is sent to its endpoint.
 """
 
 import asyncio
@@ -19,8 +19,8 @@
 from passtally.platform.decode import decode_endpoint
 from passtally.platform.readable_json import (
     MAX_DEPTH,
-    leave_out_deep_values,
-    replace_half_characters,
+    replace_deep_values,
+    replace_lone_surrogates,
 )
 from passtally.platform.store import PlatformStore
 from standins.platform_config import LOOKUPS, make_config
@@ -34,7 +34,7 @@
     "slots": 4,
     "born": 5,
 }
-#: Values of a type that the field does not have, or that name nothing.
+#: Values of a wrong type for the field, or that refer to nothing.
 WRONG_BY_FIELD = {
     "service": [None, 1, [], {}],
     "address": [None, 1, "", "nowhere", "host.example:80", "127.0.0.1", "1.2.3.4:x"],
@@ -45,7 +45,7 @@
 }
 WRONG = [(name, value) for name, values in WRONG_BY_FIELD.items() for value in values]
 MISSING = ["service", "address", "zone", "state"]
-#: What is no entry at all.
+#: Values that are no entry at all.
 NOT_ENTRIES = [
     b'""',
     b"7",
@@ -73,7 +73,7 @@
 
 class TestOneEntry:
     @pytest.mark.parametrize(("name", "value"), WRONG)
-    def test_a_field_of_another_type_or_that_names_nothing(self, name, value):
+    def test_a_field_of_a_wrong_type_or_without_a_referent(self, name, value):
         with pytest.raises(ValueError, match=r"."):
             decode_endpoint("a", encode(GOOD | {name: value}))
 
@@ -84,23 +84,23 @@
             decode_endpoint("a", encode(spec))
 
     @pytest.mark.parametrize("spec", NOT_ENTRIES)
-    def test_what_is_no_entry(self, spec):
+    def test_a_value_that_is_no_entry(self, spec):
         with pytest.raises(ValueError, match=r"."):
             decode_endpoint("a", spec)
 
     @settings(deadline=None, derandomize=True)
     @given(st.binary())
-    def test_bytes_are_read_or_refused(self, spec):
-        check_refused(spec)
+    def test_bytes_are_decoded_or_rejected(self, spec):
+        check_decoded_or_rejected(spec)
 
     @settings(deadline=None, derandomize=True)
     @given(st.dictionaries(st.sampled_from(list(GOOD)), anything))
-    def test_entries_are_read_or_refused(self, changes):
-        check_refused(encode(GOOD | changes))
+    def test_entries_are_decoded_or_rejected(self, changes):
+        check_decoded_or_rejected(encode(GOOD | changes))
 
 
-def check_refused(spec: bytes) -> None:
-    """Check that an entry is read, and then can be reached, or refused."""
+def check_decoded_or_rejected(spec: bytes) -> None:
+    """Check that an entry is rejected, or that its endpoint can be connected to."""
     try:
         endpoint = decode_endpoint("a", spec)
     except ValueError:
@@ -112,7 +112,7 @@
 
 
 class Answers:
-    """A fetcher that gives one answer after the other."""
+    """A fetcher that returns prepared answers one after the other."""
 
     def __init__(self, *bodies: bytes) -> None:
         self.bodies = list(bodies)
@@ -149,27 +149,27 @@
             item("deep", 1, b"[" * 3000 + b"]" * 3000),
         ],
     )
-    def test_the_others_of_a_listing_hold(self, bad):
+    def test_the_other_objects_of_a_listing_are_kept(self, bad):
         keys = {stored.key for stored in list_all(page(bad, self.good, bad)).objects}
         assert "servers/good" in keys
 
-    def test_the_others_of_a_watch_hold(self):
+    def test_the_other_objects_of_a_watch_are_kept(self):
         events = b'7,{"object":{"metadata":null}},{"object":%b}' % self.good
         body = b'{"events":[%b],"store_revision":9}' % events
         store = PlatformStore(fetcher=Answers(body), url="http://127.0.0.1:1")
         changes = asyncio.run(store.watch("servers/", after=1, wait=timedelta(0)))
         assert [stored.key for stored in changes.objects] == ["servers/good"]
 
-    def test_a_page_goes_on_after_the_last_one_that_has_a_name(self):
+    def test_the_next_page_starts_after_the_last_object_with_a_name(self):
         listing = list_all(page(self.good, b"7", has_more=True), page(self.good))
         assert len(listing.objects) == 2
 
-    def test_a_page_without_a_name_is_no_end_of_the_listing(self):
+    def test_a_page_without_a_name_does_not_end_the_listing(self):
         with pytest.raises(UnavailableError):
             list_all(page(b"7", has_more=True))
 
     @pytest.mark.parametrize("spec", NOT_ENTRIES[:-1])
-    def test_hosts_hand_it_on_as_it_is(self, spec):
+    def test_hosts_forward_it_unchanged(self, spec):
         objects = (
             StoredObject(key="servers/bad", version=1, value=msgspec.Raw(spec)),
             StoredObject(key="servers/a", version=2, value=msgspec.Raw(encode(GOOD))),
@@ -184,7 +184,7 @@
     @given(st.text())
     def test_whole_characters_stay(self, text):
         body = encode({"a": text})
-        assert replace_half_characters(body) == body
+        assert replace_lone_surrogates(body) == body
 
     @pytest.mark.parametrize(
         ("escaped", "read"),
@@ -197,19 +197,19 @@
             (rb"\\\ud83d", "\\�"),
         ],
     )
-    def test_half_a_character_is_replaced(self, escaped, read):
-        assert msgspec.json.decode(replace_half_characters(b'"%b"' % escaped)) == read
+    def test_a_lone_surrogate_is_replaced(self, escaped, read):
+        assert msgspec.json.decode(replace_lone_surrogates(b'"%b"' % escaped)) == read
 
 
 class TestDeepValues:
-    def test_what_is_shallow_stays(self):
+    def test_shallow_values_stay(self):
         body = b'{"a":["]]]","\\"[[",{"b":[1,2]}]}'
-        assert leave_out_deep_values(body) == body
+        assert replace_deep_values(body) == body
 
-    def test_what_is_nested_too_deep_is_null(self):
+    def test_values_nested_too_deep_are_null(self):
         deep = b"[" * 3000 + b"]" * 3000
         body = b'{"a":%b,"b":[1],"c":%b}' % (deep, deep)
-        read = msgspec.json.decode(leave_out_deep_values(body))
+        read = msgspec.json.decode(replace_deep_values(body))
         assert read["b"] == [1]
         depth, value = 0, read["a"]
         while value is not None:
@@ -218,9 +218,9 @@
 
     @settings(deadline=None, derandomize=True)
     @given(anything)
-    def test_what_is_left_can_be_read(self, value):
+    def test_values_of_usual_depth_are_unchanged(self, value):
         body = msgspec.json.encode(value)
-        assert leave_out_deep_values(body) == body
+        assert replace_deep_values(body) == body
 
 
 class TestOnThePlatform:
@@ -250,7 +250,7 @@
 
         run(test)
 
-    def test_an_entry_of_a_service_that_is_not_named_takes_no_ones_address(self):
+    def test_an_entry_of_an_unknown_service_takes_no_other_endpoints_address(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config())
             runner = await system.add_runner("i-look", LOOKUPS)
@@ -264,7 +264,7 @@
 
         run(test)
 
-    def test_watches_stay_up_and_calls_few(self):
+    def test_watches_stay_up_without_extra_calls(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config())
             runner = await system.add_runner("i-look", LOOKUPS)
--- a/tests/test_passing_states.py
+++ b/tests/test_passing_states.py
@@ -1,4 +1,4 @@
-"""Passing states around a start or stop, which must not be final for a host."""
+"""Transient states around a start or stop, from which a host must recover."""
 
 import asyncio
 import contextlib
@@ -40,9 +40,9 @@
 
 
 class TestSettingsCutShort:
-    """A file that is half written may be usable, and say another thing."""
+    """A settings file that is cut short may be valid, and name another address."""
 
-    def test_the_early_socket_is_not_kept_at_an_address_that_is_no_longer_told(
+    def test_the_early_socket_is_closed_if_its_address_is_not_configured(
         self, tmp_path
     ):
         async def main() -> None:
@@ -52,29 +52,27 @@
                 cut = text.index(line) + len(line) - 1
                 place.path.write_text(text[:cut])
                 async with started(place) as host:
-                    # Listens already, at the port that the cut file tells.
+                    # Already listens at the port that the cut file names.
                     _, writer = await connect(place.front // 10)
                     writer.close()
                     place.path.write_text(text)
                     await wait_ready(host)
-                    # Ready: so callers reach it where the settings tell.
+                    # A ready host has to listen at the configured address.
                     _, writer = await asyncio.open_connection("127.0.0.1", place.front)
                     writer.close()
 
         asyncio.run(main())
 
-    def test_an_address_of_the_store_that_was_cut_is_not_kept(self, tmp_path):
-        """The store's address lacks its last digit when the host starts.
+    def test_a_store_address_that_was_cut_short_is_replaced(self, tmp_path):
+        """Guards against a host that keeps the store's address of its start.
 
-        What happened: the host asked a port where nobody answers, logged `daemon:
-        Settings read again.` when the whole file stood, and was never ready.
-
-        Why: the client of the store, and the key for other hosts that is made from its
-        address, were made at the start and not looked at again.
-
-        What showed it: it has nothing to do with halves. A host that serves, told
-        another address by a whole file and a signal, logs the same line and makes no
-        connection there within 8 s; of all settings only the grace was taken.
+        The store's address in the file lacks its last digit when the host starts. The
+        host called a port where nothing listens, logged `daemon: Settings read again.`
+        once the file was complete, and never became ready: the client of the store, and
+        the key for other hosts that is derived from its address, were made once at the
+        start. The same happened to a serving host that was given another address by a
+        complete file and a signal: it made no connection there within 8 s, since of all
+        settings only the grace was applied.
         """
 
         async def main() -> None:
@@ -84,14 +82,16 @@
                 async with started(place) as host:
                     await wait_for(host.log, "daemon: Started.")
                     place.path.write_text(text + "\n")
-                    # The file is looked at each 5 s.
+                    # The host checks the file every 5 s.
                     assert await is_ready_within(host, 12), messages(host.log)
 
         asyncio.run(main())
 
 
 class TestStreamsWithoutReader:
-    def test_an_address_in_use_is_survived_without_a_reader_of_errors(self, tmp_path):
+    def test_a_start_survives_an_address_in_use_without_a_reader_of_stderr(
+        self, tmp_path
+    ):
         def lose_reader() -> None:
             reader, writer = os.pipe()
             os.close(reader)
@@ -109,7 +109,7 @@
 
         asyncio.run(main())
 
-    def test_an_address_in_use_is_survived_where_errors_find_no_room(self, tmp_path):
+    def test_a_start_survives_an_address_in_use_with_a_full_stderr(self, tmp_path):
         ends = os.pipe()
 
         def fill() -> None:
@@ -137,10 +137,10 @@
             os.close(ends[1])
 
 
-class TestSignalsWhileEnding:
+class TestSignalsWhileStopping:
     @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGINT])
     @pytest.mark.parametrize("is_stuck", [False, True])
-    def test_none_ends_a_stop_early(self, tmp_path, number, is_stuck):
+    def test_no_signal_cuts_a_stop_short(self, tmp_path, number, is_stuck):
         ends = os.pipe()
 
         def fill() -> None:
@@ -169,7 +169,7 @@
 
 
 class TestStopWithoutSettings:
-    def test_a_stop_while_settings_are_waited_for_is_a_planned_one(self, tmp_path):
+    def test_a_stop_while_waiting_for_settings_exits_with_status_0(self, tmp_path):
         async def main() -> None:
             async with settled(tmp_path) as place:
                 place.path.write_text("")
@@ -183,33 +183,33 @@
 
 
 class TestDescriptors:
-    def test_no_listener_takes_what_the_others_leave(self, tmp_path):
-        most = 128
+    def test_no_listener_uses_up_the_descriptors_of_the_others(self, tmp_path):
+        limit = 128
 
         async def main() -> None:
-            async with running(tmp_path, prepare=limit_descriptors(most)) as host:
+            async with running(tmp_path, prepare=limit_descriptors(limit)) as host:
                 await wait_ready(host)
                 writers = []
                 for address in (host.front, host.ready):
-                    for _ in range(most // 2):
+                    for _ in range(limit // 2):
                         _, writer = await asyncio.open_connection("127.0.0.1", address)
                         writers.append(writer)
                 await asyncio.sleep(1)
-                taken = len(os.listdir(f"/proc/{host.process.pid}/fd"))
+                in_use = len(os.listdir(f"/proc/{host.process.pid}/fd"))
                 for writer in writers:
                     writer.close()
-                assert taken <= 0.75 * most
+                assert in_use <= 0.75 * limit
 
         asyncio.run(main())
 
-    def test_callers_that_rest_give_way_to_one_that_asks(self, tmp_path):
-        most = 128
+    def test_idle_callers_are_closed_for_one_that_sends_a_request(self, tmp_path):
+        limit = 128
 
         async def main() -> None:
-            async with running(tmp_path, prepare=limit_descriptors(most)) as host:
+            async with running(tmp_path, prepare=limit_descriptors(limit)) as host:
                 await wait_ready(host)
                 writers = []
-                for _ in range(most // 2):
+                for _ in range(limit // 2):
                     reader, writer = await asyncio.open_connection(
                         "127.0.0.1", host.front
                     )
@@ -226,8 +226,8 @@
         asyncio.run(main())
 
 
-class TestSettingsThatAreNoAddress:
-    def test_a_port_out_of_range_is_told_as_other_problems_are(self, tmp_path):
+class TestInvalidAddress:
+    def test_a_port_out_of_range_is_handled_like_other_problems(self, tmp_path):
         async def main() -> None:
             async with settled(tmp_path) as place:
                 text = place.path.read_text()
@@ -245,7 +245,7 @@
 
 
 class TestServeWithoutStreams:
-    def test_the_command_serves_without_them(self, tmp_path, monkeypatch):
+    def test_the_command_serves_without_standard_streams(self, tmp_path, monkeypatch):
         def close_all() -> None:
             for number in (0, 1, 2):
                 os.close(number)
@@ -267,8 +267,8 @@
             assert host.popen.wait(10) == 0
 
 
-class TestSoakFindsAStopThatHangs:
-    def test_a_host_killed_at_the_end_of_its_grace_is_found(
+class TestSoakDetectsHangingStop:
+    def test_a_host_killed_at_the_end_of_its_grace_is_reported(
         self, tmp_path, monkeypatch
     ):
         monkeypatch.setattr("soak.series.GRACE_SECONDS", 0.5)
@@ -280,7 +280,7 @@
                 saboteur = StartSaboteur(
                     world=world, evidence=world.evidence, rng=random.Random(1)
                 )
-                # A paused process stands for one that hangs in its stop.
+                # A paused process behaves like one that hangs while stopping.
                 host.life.send(signal.SIGSTOP)
                 await saboteur.stop_in_quiet()
             return world.evidence.judge()
--- a/tests/test_platform_host.py
+++ b/tests/test_platform_host.py
@@ -1,4 +1,4 @@
-"""A host on the platform, end to end before stand-ins."""
+"""A host on the platform, end to end with stand-ins for store and endpoints."""
 
 import asyncio
 from datetime import timedelta
@@ -11,7 +11,8 @@
 from standins.runner import PROOF
 from tests.platform_system import PlatformSystem, expected_events, run
 
-#: Headers by which a caller could make an endpoint do what only the system may ask.
+#: Headers that only the system may set: a caller's value could make an endpoint reserve
+#: memory, copy state or reject requests.
 SET_BY_THE_SYSTEM = (
     "x-hold",
     "X-HOLD",
@@ -27,7 +28,7 @@
 
 
 async def start_lookups(system: PlatformSystem, count: int = 1) -> None:
-    """Start a host before some endpoints for lookups."""
+    """Start a host and endpoints for lookups."""
     system.store.put("config", "main", make_config())
     for number in range(count):
         await system.add_runner(f"i-look{number}", LOOKUPS)
@@ -36,7 +37,7 @@
 
 
 async def start_engines(system: PlatformSystem, **fields) -> None:
-    """Start a host before three engines in two failure domains."""
+    """Start a host and three engines in two failure domains."""
     system.store.put("config", "main", make_config())
     for name, zone in (("i-a", "pilar"), ("i-b", "tigre"), ("i-c", "tigre")):
         await system.add_runner(name, zone=zone, **fields)
@@ -50,7 +51,7 @@
 
 
 class TestCalls:
-    def test_a_call_arrives_unchanged_and_its_answer_comes_back(self):
+    def test_a_call_and_its_answer_are_forwarded_unchanged(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             answer = await system.send(
@@ -76,7 +77,7 @@
 
     @pytest.mark.parametrize("name", SET_BY_THE_SYSTEM)
     @pytest.mark.parametrize("send", [PlatformSystem.send, PlatformSystem.stream])
-    def test_what_only_the_system_may_set_is_not_taken_from_callers(self, send, name):
+    def test_headers_of_the_system_are_not_forwarded_from_callers(self, send, name):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             await system.add_runner("i-look", LOOKUPS)
@@ -90,7 +91,7 @@
 
         run(test)
 
-    def test_the_time_that_is_left_is_handed_on(self):
+    def test_the_remaining_time_is_forwarded(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             await system.send("/look/1", X_Deadline_Ms="1500")
@@ -99,7 +100,7 @@
 
         run(test)
 
-    def test_a_refusal_of_the_endpoint_goes_on_to_another(self):
+    def test_a_call_that_an_endpoint_rejects_fails_over(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system, count=2)
             for runner in system.runners.values():
@@ -116,7 +117,9 @@
     @pytest.mark.parametrize(
         ("path", "runs", "status"), [("/book/1", 1, 502), ("/look/1", 2, 200)]
     )
-    def test_a_lost_answer_is_repeated_only_where_allowed(self, path, runs, status):
+    def test_a_call_with_a_lost_answer_is_retried_only_if_allowed(
+        self, path, runs, status
+    ):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system, count=2)
             for runner in system.runners.values():
@@ -138,7 +141,7 @@
         "fault",
         [{"no_proof": True}, {"other_id": True}, {"encoding": "gzip"}],
     )
-    def test_an_answer_that_is_not_the_endpoints_is_not_passed_on(self, fault):
+    def test_an_answer_that_is_not_the_endpoints_is_not_forwarded(self, fault):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             for name, value in fault.items():
@@ -149,7 +152,7 @@
 
         run(test)
 
-    def test_an_endpoints_own_failure_is_passed_on(self):
+    def test_an_error_of_the_endpoint_is_forwarded(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             system.runners["i-look0"].faults.own_status = 500
@@ -159,7 +162,7 @@
 
         run(test)
 
-    def test_bytes_behind_an_answer_belong_to_no_request(self):
+    def test_bytes_after_an_answer_are_not_the_next_answer(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             extra = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"
@@ -171,7 +174,7 @@
 
         run(test)
 
-    def test_an_answer_without_a_length_is_passed_on_without_one(self):
+    def test_an_answer_without_a_length_is_forwarded_without_one(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             system.runners["i-look0"].faults.unframed = True
@@ -182,7 +185,7 @@
 
         run(test)
 
-    def test_an_endpoint_at_a_reused_address_is_not_asked_again(self):
+    def test_an_endpoint_at_a_reused_address_gets_one_request_only(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             system.runners["i-look0"].name = "i-other"
@@ -193,7 +196,7 @@
 
         run(test)
 
-    def test_a_call_is_given_up_at_its_routes_time(self):
+    def test_a_call_ends_at_its_routes_timeout(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             routes = make_config(version=2)
@@ -210,7 +213,7 @@
 
 
 class TestRoutes:
-    def test_unknown_routes_and_keys_are_refused(self):
+    def test_unknown_routes_and_keys_are_rejected(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             assert (await system.send("/none/1")).status == 404
@@ -220,7 +223,7 @@
 
         run(test)
 
-    def test_a_host_that_is_behind_denies_nothing_for_good(self):
+    def test_a_host_that_is_behind_rejects_with_a_retry_after(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             system.hosts[0].watch.is_behind = lambda prefix: True
@@ -234,7 +237,7 @@
 
         run(test)
 
-    def test_a_host_without_configuration_says_that_it_has_none(self):
+    def test_a_host_without_configuration_answers_503(self):
         async def test(system: PlatformSystem) -> None:
             host = await system.add_host()
             answer = await system.send("/look/1")
@@ -243,7 +246,7 @@
 
         run(test)
 
-    def test_while_it_starts_requests_wait_for_what_it_must_know(self):
+    def test_requests_wait_for_the_first_listing_during_a_start(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config())
             await system.add_runner("i-look", LOOKUPS)
@@ -257,7 +260,7 @@
 
         run(test)
 
-    def test_a_revoked_key_is_refused_on_an_open_connection(self):
+    def test_a_revoked_key_is_rejected_on_an_open_connection(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             address = system.hosts[0].settings.listen
@@ -291,7 +294,7 @@
 
         run(test)
 
-    def test_the_metrics_tell_the_version_in_force_at_once(self):
+    def test_the_metrics_show_the_active_version_at_once(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config(3))
             host = await system.add_host()
@@ -315,7 +318,7 @@
 
 
 class TestStreams:
-    def test_a_stream_is_passed_on_event_by_event(self):
+    def test_a_stream_is_forwarded_event_by_event(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             answer = await system.stream()
@@ -327,7 +330,7 @@
         run(test)
 
     @pytest.mark.parametrize("inside", [False, True])
-    def test_a_lost_stream_goes_on_from_its_replica(self, inside):
+    def test_a_lost_stream_is_resumed_from_its_replica(self, inside):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             for runner in system.runners.values():
@@ -357,7 +360,7 @@
 
         run(broken_once)
 
-    def test_a_silent_stream_goes_on_from_its_replica(self):
+    def test_a_silent_stream_is_resumed_from_its_replica(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             task = asyncio.create_task(system.stream())
@@ -371,7 +374,7 @@
 
         run(test)
 
-    def test_the_first_connection_is_closed_before_the_run_goes_on(self):
+    def test_the_first_connection_is_closed_before_the_run_resumes(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             task = asyncio.create_task(system.stream())
@@ -384,11 +387,12 @@
 
         run(test)
 
-    def test_a_run_whose_replica_is_lost_gets_another(self):
+    def test_a_run_whose_replica_is_lost_gets_another_replica(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system, events=60, gap=0.02)
-            # A host watches from 1.2 s after its start on, to hear first whether others
-            # do. The run lasts as long: it would end as its replica's end is heard.
+            # A host starts to watch 1.2 s after its own start, since it first waits for
+            # heartbeats of another watcher. The run lasts as long, so without this wait
+            # it would end about when the loss of its replica is received.
             while not system.hosts[0].watch.is_up:
                 await asyncio.sleep(0.01)
             task = asyncio.create_task(system.stream())
@@ -408,7 +412,7 @@
 
         run(test)
 
-    def test_without_a_replica_the_prompt_is_read_again(self):
+    def test_without_a_replica_prefill_is_repeated(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             task = asyncio.create_task(system.stream())
@@ -430,7 +434,7 @@
 
         run(test)
 
-    def test_a_caller_goes_on_after_the_last_event_it_has(self):
+    def test_a_caller_resumes_after_its_last_event(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             answer = await system.stream(Last_Event_Id="12")
@@ -439,7 +443,7 @@
 
         run(test)
 
-    def test_it_goes_on_where_its_prompt_was_read_also_at_another_host(self):
+    def test_another_host_resumes_at_the_engine_that_caches_the_prompt(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             prompt = {"X_Prefix_Hash": "5c1e07a2:200,beef01:300"}
@@ -453,7 +457,7 @@
 
         run(test)
 
-    def test_a_caller_that_leaves_ends_the_run(self):
+    def test_a_caller_that_disconnects_ends_the_run(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system, gap=0.1)
             task = asyncio.create_task(system.stream())
@@ -466,7 +470,7 @@
         run(test)
 
     @pytest.mark.parametrize("send", [PlatformSystem.send, PlatformSystem.stream])
-    def test_a_caller_that_leaves_before_its_answer_ends_the_work(self, send):
+    def test_a_caller_that_disconnects_before_its_answer_ends_the_work(self, send):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             await system.add_runner("i-look", LOOKUPS)
@@ -478,14 +482,14 @@
             while not any(runner.requests for runner in system.runners.values()):
                 await asyncio.sleep(0.005)
             task.cancel()
-            # Without the close it would be at work for longer than the test may take.
+            # Without the close the endpoint would work longer than the test may take.
             while not any(runner.closed_early for runner in system.runners.values()):
                 await asyncio.sleep(0.005)
             assert system.hosts[0].drain.open_requests == 0
 
         run(test)
 
-    def test_where_nothing_can_take_it_the_refusal_says_when_to_come_back(self):
+    def test_without_an_endpoint_the_rejection_has_a_retry_after(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config())
             await system.add_host()
@@ -499,7 +503,7 @@
 
 
 class TestStore:
-    def test_a_watch_that_hears_nothing_is_renewed(self):
+    def test_a_watch_that_receives_nothing_is_renewed(self):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             system.store.is_deaf = True
@@ -514,7 +518,7 @@
         run(test)
 
     @pytest.mark.parametrize("outage", ["refused", "silent"])
-    def test_a_host_serves_on_through_an_outage(self, outage):
+    def test_a_host_keeps_serving_during_an_outage(self, outage):
         async def test(system: PlatformSystem) -> None:
             await start_lookups(system)
             system.store.refusal = 503 if outage == "refused" else None
@@ -529,7 +533,7 @@
 
         run(test)
 
-    def test_a_listing_of_many_pages_is_read_whole(self):
+    def test_all_pages_of_a_listing_are_read(self):
         async def test(system: PlatformSystem) -> None:
             system.store.page = 2
             system.store.put("config", "main", make_config())
@@ -560,7 +564,7 @@
 
 
 class TestStop:
-    def test_a_stopping_host_finishes_what_is_open(self):
+    def test_a_stopping_host_finishes_open_requests(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system, gap=0.02)
             host = system.hosts[0]
@@ -577,14 +581,14 @@
 
         run(test)
 
-    def test_after_the_last_request_it_hands_on_no_more(self):
+    def test_a_host_that_has_drained_forwards_no_requests(self):
         async def test(system: PlatformSystem) -> None:
             await system.add_runner("i-look", LOOKUPS)
             await start_engines(system)
             host = system.hosts[0]
             host.settings = attrs.evolve(host.settings, balancer_lag=timedelta(0))
             await host.leave()
-            # Its sockets are closed only after this.
+            # The host's sockets still accept connections at this point.
             for path in ("/draft/1", "/look/1", "/book/1"):
                 answer = await system.stream(path)
                 assert answer.status == 503, path
@@ -593,7 +597,7 @@
 
         run(test)
 
-    def test_late_in_a_stop_streams_are_sent_elsewhere(self):
+    def test_late_in_a_stop_streams_are_rejected_with_a_retry_after(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             host = system.hosts[0]
@@ -604,9 +608,9 @@
 
         run(test)
 
-    # Guards against a call that a host takes in the last moments of its grace, and cuts
-    # off as it ends.
-    def test_each_call_that_runs_while_it_stops_is_answered(self):
+    # Guards against a call that a host accepts in the last moments of its grace and
+    # aborts when it stops.
+    def test_each_call_that_runs_during_a_stop_is_answered(self):
         async def test(system: PlatformSystem) -> None:
             lookups = await system.add_runner("i-look", LOOKUPS)
             lookups.faults.answer_delay = 0.15
@@ -634,7 +638,7 @@
 
         run(test)
 
-    def test_late_in_a_stop_calls_are_sent_elsewhere(self):
+    def test_late_in_a_stop_calls_are_rejected_with_a_retry_after(self):
         async def test(system: PlatformSystem) -> None:
             lookups = await system.add_runner("i-look", LOOKUPS)
             await start_engines(system)
@@ -647,7 +651,7 @@
 
         run(test)
 
-    def test_a_stopping_host_takes_the_streams_that_it_can_finish(self):
+    def test_a_stopping_host_accepts_streams_that_it_can_finish(self):
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             host = system.hosts[0]
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The process on the platform: start, reload, stop, settings that can't be used."""
+"""The host's process on the platform: start, reload, stop, invalid settings."""
 
 import asyncio
 import signal
@@ -47,7 +47,7 @@
                 return was_loading
 
         async def main() -> None:
-            # On a busy machine this test may look too late; loading takes 0.3 s.
+            # On a busy machine this test may connect too late; loading takes 0.3 s.
             for number in range(5):
                 if await try_once(tmp_path / str(number)):
                     return
@@ -55,7 +55,7 @@
 
         asyncio.run(main())
 
-    def test_settings_that_cant_be_used_are_told_and_end_it(self, tmp_path: Path):
+    def test_invalid_settings_are_reported_and_end_the_start(self, tmp_path: Path):
         path = tmp_path / "node.conf"
         path.write_text("zone=pilar\nlisten.front=here\n")
         process = start(path, tmp_path / "log")
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""What the hosts forbid: child processes, io_uring, shared memory."""
+"""Resources that the machines forbid: child processes, io_uring, shared memory."""
 
 import os
 import subprocess
@@ -7,8 +7,8 @@
 
 from tests.conftest import EXPECTED, System
 
-#: The loop, and idle helpers of the libraries: two of ZeroMQ's, one of libuv's, and
-#: one of aiomisc's pool. Only the loop runs Python.
+#: The thread of the event loop, and idle threads of libraries: two of ZeroMQ, one of
+#: libuv and one of aiomisc's pool. Only the event loop runs Python.
 MAX_THREADS = 5
 
 
@@ -42,7 +42,7 @@
 
 class TestImports:
     def test_an_entry_host_on_the_platform_loads_one_http_library(self):
-        """Each takes memory on every host, and time at each of its starts."""
+        """Each library takes memory on every host and time at each start."""
         program = (
             "import sys, passtally.platform.process;sys.exit('aiohttp' in sys.modules)"
         )
