--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real hosts as processes, faults injected from outside them."""
+"""A randomized soak test: host processes under faults injected from outside them."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs seeds of the soak: ``python -m soak --seeds 50 --jobs 4``."""
+"""The command that runs seeds of the soak: ``python -m soak --seeds 50 --jobs 4``."""
 
 import asyncio
 import contextlib
@@ -29,23 +29,23 @@
 LOOKUPS = 2
 CALLERS_BY_KIND = {"stream": 5, "call": 3, "booking": 4}
 POLL_SECONDS = 0.3
-#: How long all is left alone before the last round, in seconds.
-HEAL_SECONDS = 6.0
+#: Time without new faults before the recovery check, in seconds.
+SETTLE_SECONDS = 6.0
 
 
 @attrs.frozen(kw_only=True)
 class Setup:
-    """What one run plays.
+    """The parameters of one run.
 
     Attributes:
-        seed: What is drawn.
-        seconds: How long faults come.
-        hosts: How many hosts there are.
-        starts: Whether hosts meet trouble at their starts and stops.
-        settings: Whether hosts are told other settings while they serve.
-        requests: Whether requests end what runs them, and endpoints name limits.
-        words: Whether endpoints leave, and ask for rest, by their answers, and the
-            store comes back from older copies.
+        seed: The seed of all generators.
+        seconds: Time during which faults are injected, in seconds.
+        hosts: Number of hosts.
+        starts: Whether to inject faults at starts and stops of hosts.
+        settings: Whether to change the settings of hosts while they serve.
+        requests: Whether to send fatal requests and to let endpoints announce limits.
+        words: Whether to let endpoints announce in their answers that they leave or
+            ask for back-off, and to restore the store from older copies.
     """
 
     seed: int
@@ -58,7 +58,7 @@
 
 
 async def play(setup: Setup, folder: Path, evidence: Evidence) -> None:
-    """Play one seed and judge what was seen."""
+    """Run one seed and check the promises."""
     rng = random.Random(setup.seed)
     world = World(folder=folder, evidence=evidence, rng=rng)
     tasks: list[asyncio.Task[None]] = []
@@ -74,8 +74,8 @@
         ]
         tasks += [asyncio.create_task(caller.run()) for caller in callers]
         tasks.append(asyncio.create_task(_read_versions(world, evidence)))
-        await _bring_trouble(setup, world, evidence, rng)
-        await _last_round(world, evidence, rng)
+        await _inject_faults(setup, world, evidence, rng)
+        await _check_recovery(world, evidence, rng)
     finally:
         for task in tasks:
             task.cancel()
@@ -84,30 +84,31 @@
         evidence.judge()
 
 
-async def _bring_trouble(
+async def _inject_faults(
     setup: Setup, world: World, evidence: Evidence, rng: random.Random
 ) -> None:
-    """Play the faults of a seed, then let all heal."""
+    """Inject the faults of a seed, then wait until the system can have recovered."""
     series = [Saboteur(world=world, evidence=evidence, rng=rng).run(setup.seconds)]
-    # Not of the same numbers: what else a seed draws stays as it is.
-    own = random.Random(f"starts of {setup.seed}")
-    starts = StartSaboteur(world=world, evidence=evidence, rng=own)
+    # Each further series has its own generator, so that the draws of the first series
+    # and of the callers do not depend on which series are enabled.
+    own_rng = random.Random(f"starts of {setup.seed}")
+    starts = StartSaboteur(world=world, evidence=evidence, rng=own_rng)
     if setup.starts:
         series.append(starts.run(setup.seconds))
     if setup.settings:
-        own = random.Random(f"settings of {setup.seed}")
-        changes = SettingsSaboteur(world=world, evidence=evidence, rng=own)
+        own_rng = random.Random(f"settings of {setup.seed}")
+        changes = SettingsSaboteur(world=world, evidence=evidence, rng=own_rng)
         series.append(changes.run(setup.seconds))
     if setup.requests:
-        own = random.Random(f"requests of {setup.seed}")
-        requests = RequestSaboteur(world=world, evidence=evidence, rng=own)
+        own_rng = random.Random(f"requests of {setup.seed}")
+        requests = RequestSaboteur(world=world, evidence=evidence, rng=own_rng)
         series.append(requests.run(setup.seconds))
-    own = random.Random(f"words of {setup.seed}")
-    words = WordSaboteur(world=world, evidence=evidence, rng=own)
+    own_rng = random.Random(f"words of {setup.seed}")
+    words = WordSaboteur(world=world, evidence=evidence, rng=own_rng)
     if setup.words:
         series.append(words.run(setup.seconds))
     await asyncio.gather(*series)
-    await asyncio.sleep(HEAL_SECONDS)
+    await asyncio.sleep(SETTLE_SECONDS)
     words.judge()
     if setup.starts:
         await starts.stop_in_quiet()
@@ -119,10 +120,10 @@
     evidence: Evidence,
     rng: random.Random,
     *,
-    leaves: bool = True,
+    disconnects: bool = True,
 ) -> Caller:
     return Caller(
-        leaves=leaves,
+        disconnects=disconnects,
         kind=kind,
         addresses_by_host=world.addresses_by_host,
         evidence=evidence,
@@ -132,7 +133,7 @@
 
 
 async def _read_versions(world: World, evidence: Evidence) -> None:
-    """Read the version in force at each host, for ever."""
+    """Record the version in force at each host until cancelled."""
     while True:
         for host in world.hosts_by_name.values():
             life = host.life
@@ -142,8 +143,8 @@
         await asyncio.sleep(POLL_SECONDS)
 
 
-async def _last_round(world: World, evidence: Evidence, rng: random.Random) -> None:
-    """Check that all is well again: each host serves all, by the newest version."""
+async def _check_recovery(world: World, evidence: Evidence, rng: random.Random) -> None:
+    """Check that each host applies a new version and serves all kinds of requests."""
     world.change_config()
     await asyncio.sleep(APPLY_SECONDS + MARGIN_SECONDS)
     for host in world.hosts_by_name.values():
@@ -153,25 +154,25 @@
         if version != world.version:
             evidence.report(f"{host.name} has version {version}, not {world.version}")
         for kind in CALLERS_BY_KIND:
-            caller = _make_caller(kind, world, evidence, rng, leaves=False)
-            if not await caller.ask(host.name):
+            caller = _make_caller(kind, world, evidence, rng, disconnects=False)
+            if not await caller.send_request(host.name):
                 evidence.report(f"{host.name} does not serve a {kind} again")
 
 
 def play_seed(setup: Setup) -> bool:
-    """Play one seed, print what came of it and return whether all promises held."""
+    """Run one seed, print its result and return whether all promises held."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{setup.seed}-"))
     evidence = Evidence()
     try:
         asyncio.run(play(setup, folder, evidence))
     except Exception:
         evidence.report(f"the soak itself failed: {traceback.format_exc()}")
-    whole = sum(seen.is_whole for seen in evidence.tries)
-    quiet = sum(evidence.is_quiet(asked) for asked in evidence.asked)
-    kinds = sorted({trouble.kind for trouble in evidence.troubles})
+    complete = sum(outcome.is_complete for outcome in evidence.tries)
+    quiet = sum(evidence.is_quiet(request) for request in evidence.requests)
+    kinds = sorted({record.kind for record in evidence.faults})
     print(
-        f"seed {setup.seed}: {len(evidence.tries)} tries, {whole} answered,"
-        f" {quiet} in quiet, {len(evidence.troubles)} faults ({', '.join(kinds)}),"
+        f"seed {setup.seed}: {len(evidence.tries)} tries, {complete} answered,"
+        f" {quiet} in quiet, {len(evidence.faults)} faults ({', '.join(kinds)}),"
         f" {len(evidence.violations)} broken"
     )
     for violation in evidence.violations:
@@ -179,7 +180,7 @@
     if evidence.violations:
         lines = [
             f"{fault.began_at:.2f} to {fault.ended_at:.2f} {fault.kind} {fault.target}"
-            for fault in sorted(evidence.troubles, key=lambda fault: fault.began_at)
+            for fault in sorted(evidence.faults, key=lambda fault: fault.began_at)
         ]
         (folder / "faults.txt").write_text("\n".join(lines) + "\n")
         print(f"  logs and faults: {folder}")
@@ -190,37 +191,39 @@
 
 
 @click.command()
-@click.option("--seed", type=int, help="Play this seed alone.")
-@click.option("--seeds", type=int, default=1, help="How many fresh seeds to play.")
-@click.option("--first", type=int, help="The first of them; drawn if not given.")
-@click.option("--seconds", type=float, default=20.0, help="How long faults come.")
+@click.option("--seed", type=int, help="Run only this seed.")
+@click.option("--seeds", type=int, default=1, help="Number of seeds to run.")
+@click.option("--first", type=int, help="The first seed; random if not given.")
+@click.option(
+    "--seconds", type=float, default=20.0, help="Duration of fault injection."
+)
 @click.option(
     "--hosts",
     type=int,
     default=HOSTS,
-    help="How many hosts; of more than eight some learn from others that watch.",
+    help="Number of hosts; above eight, some receive updates from watchers.",
 )
 @click.option(
     "--starts/--no-starts",
     default=True,
-    help="Whether hosts meet trouble at their starts and stops.",
+    help="Inject faults at starts and stops of hosts.",
 )
 @click.option(
     "--settings/--no-settings",
     default=True,
-    help="Whether hosts are told other settings while they serve.",
+    help="Change the settings of hosts while they serve.",
 )
 @click.option(
     "--requests/--no-requests",
     default=True,
-    help="Whether requests end what runs them, and endpoints name limits.",
+    help="Send fatal requests, and let endpoints announce request limits.",
 )
 @click.option(
     "--words/--no-words",
     default=True,
-    help="Whether endpoints speak by their answers, and the store forgets.",
+    help="Let endpoints announce directives, and restore older store copies.",
 )
-@click.option("--jobs", type=int, default=1, help="How many seeds at a time.")
+@click.option("--jobs", type=int, default=1, help="Number of seeds to run at a time.")
 def main(
     seed: int | None,
     seeds: int,
@@ -233,8 +236,8 @@
     words: bool,
     jobs: int,
 ) -> None:
-    """Play seeds of the soak; fails where a promise was broken."""
-    # Stand-ins that are stopped in the middle of an answer are part of the run.
+    """Run seeds of the soak; exit with 1 if a promise was broken."""
+    # Faults stop stand-ins in the middle of answers; aiohttp logs errors for these.
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
     setup = Setup(
         seed=seed or 0,
@@ -252,13 +255,13 @@
         setups = [
             attrs.evolve(setup, seed=number) for number in range(start, start + seeds)
         ]
-        results = list(pool.map(_play_apart, setups))
+        results = list(pool.map(_play_in_subprocess, setups))
     print(f"{results.count(True)} of {seeds} seeds held")
     sys.exit(0 if all(results) else 1)
 
 
-def _play_apart(setup: Setup) -> bool:
-    """Play a seed in a process of its own, so that several can run at a time."""
+def _play_in_subprocess(setup: Setup) -> bool:
+    """Run a seed in a subprocess, so that several can run at a time."""
     command = [sys.executable, "-m", "soak"]
     command += [f"--seed={setup.seed}", f"--seconds={setup.seconds}"]
     command += [f"--hosts={setup.hosts}"]
--- a/soak/caller.py
+++ b/soak/caller.py
@@ -1,4 +1,4 @@
-"""Callers: they keep connections, leave now and then, and come back elsewhere."""
+"""Callers that reuse connections, disconnect at times and retry at other hosts."""
 
 import asyncio
 import itertools
@@ -9,19 +9,21 @@
 import attrs
 import h11
 
-from soak.evidence import Asked, Evidence, Seen, find_problem, now
+from soak.evidence import Evidence, RequestOutcome, TryOutcome, find_problem, now
 from standins.platform_config import KEY
 
 READ_BYTES = 1 << 16
-#: How long a caller waits for any answer, in seconds.
-PATIENCE_SECONDS = 6.0
-#: The share of requests whose caller leaves before the end.
-LEAVING_SHARE = 0.05
-#: The share of requests after which a connection is kept for the next.
-KEEPING_SHARE = 0.7
-#: How often a stream is taken up again before its caller gives it up.
+#: Timeout and deadline of each request, in seconds.
+ANSWER_TIMEOUT_SECONDS = 6.0
+#: Share of requests whose caller disconnects before the answer is complete.
+DISCONNECT_SHARE = 0.05
+#: Share of complete answers after which the connection is kept for the next request.
+KEEP_ALIVE_SHARE = 0.7
+#: Number of tries of a request, including resumptions of a stream, before its caller
+#: gives up.
 MAX_TRIES = 6
-PAUSE_SECONDS = 0.05
+#: Delay between two tries of a request, in seconds.
+RETRY_DELAY_SECONDS = 0.05
 
 _PATHS_BY_KIND = {"stream": "/draft/1", "call": "/look/1", "booking": "/book/1"}
 _EVENT = re.compile(rb"id: (\d+)\ndata: piece (\d+)\n\n")
@@ -30,15 +32,15 @@
 
 @attrs.define(kw_only=True)
 class _Connection:
-    """One connection to a host; requests go over it one after the other."""
+    """A connection to a host, for one request at a time."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    machine: h11.Connection
+    protocol: h11.Connection
 
     @property
-    def is_gone(self) -> bool:
-        """Whether the far side has closed it."""
+    def is_closed(self) -> bool:
+        """Whether the host has closed the connection, or it has failed."""
         return self.reader.at_eof() or self.reader.exception() is not None
 
     def close(self) -> None:
@@ -50,19 +52,19 @@
     status: int = 0
     headers: dict[str, str] = attrs.field(factory=dict)
     body: bytes = b""
-    is_whole: bool = False
-    left: bool = False
+    is_complete: bool = False
+    caller_left: bool = False
 
 
 class Caller:
-    """Sends requests of one kind, one after the other.
+    """Sends requests of one kind, one at a time, and records every try.
 
     Args:
         kind: ``stream``, ``call`` or ``booking``.
-        addresses_by_host: Where the hosts are reached.
-        evidence: Where its tries are noted.
-        rng: Decides what it does.
-        events: How many events a whole stream has.
+        addresses_by_host: Returns the address for callers of each host.
+        evidence: The record for its tries and requests.
+        rng: The generator of its choices: hosts, delays, disconnects.
+        events: Number of events in a complete stream.
         leaves: Whether it leaves some requests before the end.
     """
 
@@ -74,94 +76,98 @@
         evidence: Evidence,
         rng: random.Random,
         events: int,
-        leaves: bool = True,
+        disconnects: bool = True,
     ) -> None:
-        self._leaves = leaves
+        self._disconnects = disconnects
         self._kind = kind
         self._addresses_by_host = addresses_by_host
         self._evidence = evidence
         self._rng = rng
         self._events = events
-        self._kept: dict[str, _Connection] = {}
+        self._idle_connections: dict[str, _Connection] = {}
         self.served = 0
 
     async def run(self) -> None:
-        """Send requests for ever."""
+        """Send requests until cancelled, at random intervals of up to 0.3 s."""
         while True:
-            await self.ask()
+            await self.send_request()
             await asyncio.sleep(self._rng.uniform(0, 0.3))
 
-    async def ask(self, host: str = "") -> bool:
-        """Send one request and try it again as a caller would.
+    async def send_request(self, host: str = "") -> bool:
+        """Send one request, and retry or resume it as a caller would.
 
         Args:
-            host: The host to ask; any if empty.
+            host: The host for all tries; a random one for each try if empty.
 
         Returns:
-            Whether it was served in the end.
+            Whether a try was answered completely with a 2xx status.
         """
-        tries: list[Seen] = []
-        is_served = await self._ask(host, tries)
-        self._evidence.asked.append(Asked(tries=tuple(tries), is_served=is_served))
+        tries: list[TryOutcome] = []
+        is_served = await self._send_with_retries(host, tries)
+        self._evidence.requests.append(
+            RequestOutcome(tries=tuple(tries), is_served=is_served)
+        )
         return is_served
 
-    async def _ask(self, host: str, tries: list[Seen]) -> bool:
+    async def _send_with_retries(self, host: str, tries: list[TryOutcome]) -> bool:
         position = 0
         for _ in range(MAX_TRIES):
             names = list(self._addresses_by_host())
             name = host or self._rng.choice(names)
-            seen, answer = await self._try(name, position)
+            outcome, answer = await self._try(name, position)
             if self._kind == "stream":
-                position, problem = self._join(answer.body, position, answer.is_whole)
-                seen = attrs.evolve(seen, problem=problem or seen.problem)
-            self._evidence.tries.append(seen)
-            tries.append(seen)
-            if answer.is_whole and 200 <= answer.status < 300:
+                position, problem = self._join_events(
+                    answer.body, position, answer.is_complete
+                )
+                outcome = attrs.evolve(outcome, problem=problem or outcome.problem)
+            self._evidence.tries.append(outcome)
+            tries.append(outcome)
+            if answer.is_complete and 200 <= answer.status < 300:
                 self.served += 1
                 return True
-            if answer.left or (self._kind == "booking" and answer.status != 503):
+            if answer.caller_left or (self._kind == "booking" and answer.status != 503):
                 return False
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
         return False
 
-    async def _try(self, host: str, position: int) -> tuple[Seen, _Answer]:
+    async def _try(self, host: str, position: int) -> tuple[TryOutcome, _Answer]:
         request_id = f"q{next(_numbers)}-{self._kind}"
         sent_at = now()
         answer = _Answer()
-        connection = self._take_kept(host)
+        connection = self._pop_idle_connection(host)
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
                 if connection is None:
                     connection = await self._open(host)
                 await self._send(connection, request_id, position)
                 await self._read(connection, answer)
         except (OSError, TimeoutError, h11.RemoteProtocolError):
-            answer.is_whole = False
-        self._keep(host, connection, answer)
+            answer.is_complete = False
+        self._keep_or_close(host, connection, answer)
         problem = ""
-        if answer.is_whole:
+        if answer.is_complete:
             problem = find_problem(
                 self._kind, answer.status, answer.headers, answer.body
             )
             if answer.headers.get("x-request-id", request_id) != request_id:
-                problem = "the answer to another request"
-        seen = Seen(
+                problem = "the answer has another request's id"
+        outcome = TryOutcome(
             id=request_id,
             kind=self._kind,
             host=host,
             sent_at=sent_at,
             ended_at=now(),
             status=answer.status,
-            is_whole=answer.is_whole,
+            is_complete=answer.is_complete,
             problem=problem,
-            left=answer.left,
+            caller_left=answer.caller_left,
         )
-        return seen, answer
+        return outcome, answer
 
-    def _take_kept(self, host: str) -> _Connection | None:
-        """Return a kept connection; one that the host has closed is of no use."""
-        connection = self._kept.pop(host, None)
-        if connection is None or not connection.is_gone:
+    def _pop_idle_connection(self, host: str) -> _Connection | None:
+        """Return the idle connection to a host, unless the host has closed it."""
+        connection = self._idle_connections.pop(host, None)
+        if connection is None or not connection.is_closed:
             return connection
         connection.close()
         return None
@@ -169,8 +175,8 @@
     async def _open(self, host: str) -> _Connection:
         ip, port = self._addresses_by_host()[host]
         reader, writer = await asyncio.open_connection(ip, port)
-        machine = h11.Connection(our_role=h11.CLIENT)
-        return _Connection(reader=reader, writer=writer, machine=machine)
+        protocol = h11.Connection(our_role=h11.CLIENT)
+        return _Connection(reader=reader, writer=writer, protocol=protocol)
 
     async def _send(
         self, connection: _Connection, request_id: str, position: int
@@ -179,7 +185,7 @@
             ("Host", "shop.example"),
             ("X-Request-Id", request_id),
             ("X-Key", KEY),
-            ("X-Deadline-Ms", str(int(PATIENCE_SECONDS * 1000))),
+            ("X-Deadline-Ms", str(int(ANSWER_TIMEOUT_SECONDS * 1000))),
             ("Content-Length", "0"),
         ]
         if self._kind == "stream":
@@ -193,18 +199,18 @@
         request = h11.Request(
             method="POST", target=_PATHS_BY_KIND[self._kind], headers=headers
         )
-        machine = connection.machine
-        data = machine.send(request) + machine.send(h11.EndOfMessage())
+        protocol = connection.protocol
+        data = protocol.send(request) + protocol.send(h11.EndOfMessage())
         connection.writer.write(data)
         await connection.writer.drain()
 
     async def _read(self, connection: _Connection, answer: _Answer) -> None:
-        leaves = self._leaves and self._rng.random() < LEAVING_SHARE
-        machine = connection.machine
-        while not answer.is_whole:
-            event = machine.next_event()
+        disconnects = self._disconnects and self._rng.random() < DISCONNECT_SHARE
+        protocol = connection.protocol
+        while not answer.is_complete:
+            event = protocol.next_event()
             if event is h11.NEED_DATA:
-                machine.receive_data(await connection.reader.read(READ_BYTES))
+                protocol.receive_data(await connection.reader.read(READ_BYTES))
             elif isinstance(event, h11.Response):
                 answer.status = event.status_code
                 answer.headers = {
@@ -213,36 +219,45 @@
                 }
             elif isinstance(event, h11.Data):
                 answer.body += bytes(event.data)
-                if leaves:
-                    answer.left = True
+                if disconnects:
+                    answer.caller_left = True
                     return
             elif isinstance(event, h11.EndOfMessage):
-                answer.is_whole = True
+                answer.is_complete = True
             else:
                 return
 
-    def _keep(self, host: str, connection: _Connection | None, answer: _Answer) -> None:
+    def _keep_or_close(
+        self, host: str, connection: _Connection | None, answer: _Answer
+    ) -> None:
         if connection is None:
             return
-        machine = connection.machine
-        is_done = answer.is_whole and machine.their_state is h11.DONE
-        is_open = is_done and machine.our_state is h11.DONE
-        if is_open and self._rng.random() < KEEPING_SHARE:
-            machine.start_next_cycle()
-            self._kept[host] = connection
+        protocol = connection.protocol
+        is_done = answer.is_complete and protocol.their_state is h11.DONE
+        is_open = is_done and protocol.our_state is h11.DONE
+        if is_open and self._rng.random() < KEEP_ALIVE_SHARE:
+            protocol.start_next_cycle()
+            self._idle_connections[host] = connection
         else:
             connection.close()
 
-    def _join(self, body: bytes, position: int, is_whole: bool) -> tuple[int, str]:
-        """Join a stream's events on; tell the last one and what was wrong."""
+    def _join_events(
+        self, body: bytes, position: int, is_complete: bool
+    ) -> tuple[int, str]:
+        """Check that the events in a stream's body continue after a position.
+
+        Returns:
+            The number of the last event received in order, and the problem found;
+            empty for none.
+        """
         for number, piece in _EVENT.findall(body):
             if int(number) != position + 1 or number != piece:
                 return position, f"event {number.decode()} after {position}"
             position += 1
         rest = _EVENT.sub(b"", body)
-        if is_whole and rest.startswith(b"id"):
-            return position, "half an event in a whole answer"
+        if is_complete and rest.startswith(b"id"):
+            return position, "incomplete event in a complete answer"
         is_short = position < self._events and not rest.startswith(b"{")
-        if is_whole and is_short:
+        if is_complete and is_short:
             return position, f"complete after {position} events"
         return position, ""
--- a/soak/ends.py
+++ b/soak/ends.py
@@ -1,73 +1,78 @@
-"""How the processes of hosts ended, and which ends break a promise."""
+"""Exits of host processes, and which of them break a promise."""
 
 import signal
 
 import attrs
 
-#: What the platform sends when a host is to stop as planned.
+#: Signals by which the platform stops a host as planned.
 STOP_SIGNALS = frozenset((signal.SIGTERM, signal.SIGINT))
-#: After these whoever sent them starts the host again.
+#: Signals after which their sender restarts the host.
 ENDING_SIGNALS = STOP_SIGNALS | {signal.SIGKILL}
 
-#: How Python ends on SIGINT while it sets itself up, some 20 ms after the exec.
+#: Exit status and last line of Python on a SIGINT while the interpreter initializes,
+#: about 20 ms after the exec.
 INTERRUPTED_STATUS = 1
 INTERRUPTED_LINE = "KeyboardInterrupt"
 
 
 @attrs.frozen(kw_only=True)
-class Told:
+class SentSignal:
     """One signal that the soak sent to a process.
 
     Attributes:
-        number: Which.
-        had_begun: Whether the program ran by then. Before its first line runs it
-            can't help that a signal ends it, and nobody could reach it.
+        number: The signal.
+        had_started: Whether the program was running by then. Before its first line
+            runs, it can't handle a signal, and no caller can have reached it.
     """
 
     number: signal.Signals
-    had_begun: bool = True
+    had_started: bool = True
 
 
 @attrs.frozen(kw_only=True)
-class End:
-    """How one life of a host ended.
+class ProcessExit:
+    """The exit of one process of a host.
 
     Attributes:
         host: The host's name.
-        life: Which of its lives.
-        status: Its exit status; negative for the signal that ended it.
-        told: What the soak had sent it.
-        began_at: When it was started, on the monotonic clock, in seconds.
-        lasted: How long it lived, in seconds.
+        life: The number of the process among the host's processes.
+        status: Its exit status; the negative signal number if a signal terminated it.
+        told: The signals that the soak had sent to it.
+        began_at: Time of its start on the monotonic clock, in seconds.
+        lasted: Time from its start to its exit, in seconds.
         last_line: The last line of its log.
     """
 
     host: str
     life: int
     status: int
-    told: tuple[Told, ...] = ()
+    told: tuple[SentSignal, ...] = ()
     began_at: float = 0.0
     lasted: float = 0.0
     last_line: str = ""
 
     @property
     def is_allowed(self) -> bool:
-        """Whether the host ended as it was told to."""
+        """Whether the signals that the soak sent explain the exit."""
         numbers = {told.number for told in self.told}
         if self.status == 0:
             return bool(numbers & STOP_SIGNALS)
         if self.status == -signal.SIGKILL:
             return signal.SIGKILL in numbers
-        return any(self._is_by(told.number) for told in self.told if not told.had_begun)
+        return any(
+            self._is_caused_by(told.number)
+            for told in self.told
+            if not told.had_started
+        )
 
-    def _is_by(self, number: signal.Signals) -> bool:
-        """Whether a signal ended it, also where it met the interpreter's own start."""
+    def _is_caused_by(self, number: signal.Signals) -> bool:
+        """Whether a signal terminated it, also while Python initialized."""
         if number is signal.SIGINT and self.last_line == INTERRUPTED_LINE:
             return self.status in (-number, INTERRUPTED_STATUS)
         return self.status == -number
 
     def describe(self) -> str:
-        """Return what happened, for the reader of a run."""
+        """Return the exit in a line for the report of the run."""
         numbers = {told.number for told in self.told}
         how = "stopped" if numbers & STOP_SIGNALS else "ended by itself"
         return (
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a run: drawn from a seed, in series and overlapping."""
+"""Faults of hosts, endpoints, the store and the links, drawn from a seed."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
             "endpoint crash": Fault(weight=4, run=self._crash),
             "endpoint link": Fault(weight=4, run=self._break_endpoint_link),
             "endpoint drain": Fault(weight=2, run=self._drain),
-            "wrong answers": Fault(weight=3, run=self._spoil),
+            "wrong answers": Fault(weight=3, run=self._corrupt_answers),
             "configuration": Fault(weight=4, run=self._configure),
         }
 
@@ -39,18 +39,18 @@
         up = [host for host in self._world.hosts_by_name.values() if host.is_up]
         return self._rng.choice(up) if up else None
 
-    async def _kill(self, lasts: float) -> None:
+    async def _kill(self, duration: float) -> None:
         host = self._pick_host()
         if host is None:
             return
         began_at, life = now(), host.life
         life.kill()
         await asyncio.to_thread(life.popen.wait)
-        await asyncio.sleep(lasts / 2)
+        await asyncio.sleep(duration / 2)
         self._world.start_host(host)
-        self._note("kill", host.name, began_at)
+        self._record_fault("kill", host.name, began_at)
 
-    async def _kill_all(self, lasts: float) -> None:
+    async def _kill_all(self, duration: float) -> None:
         began_at = now()
         hosts = [host for host in self._world.hosts_by_name.values() if host.is_up]
         killed = [host.life for host in hosts]
@@ -58,110 +58,111 @@
             life.kill()
         for life in killed:
             await asyncio.to_thread(life.popen.wait)
-        await asyncio.sleep(lasts / 2)
+        await asyncio.sleep(duration / 2)
         for host in hosts:
             self._world.start_host(host)
-            self._note("kill all", host.name, began_at)
+            self._record_fault("kill all", host.name, began_at)
 
-    async def _pause(self, lasts: float) -> None:
+    async def _pause(self, duration: float) -> None:
         host = self._pick_host()
         if host is None:
             return
         began_at, life = now(), host.life
         life.popen.send_signal(signal.SIGSTOP)
         life.pauses += 1
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         life.pauses -= 1
         if life.popen.poll() is None:
             life.popen.send_signal(signal.SIGCONT)
-        self._note("pause", host.name, began_at)
+        self._record_fault("pause", host.name, began_at)
 
-    async def _stop(self, lasts: float) -> None:
-        """Stop a host as planned, kill it at the end of its grace, start it again."""
+    async def _stop(self, duration: float) -> None:
+        """Stop a host as planned and restart it; kill it after its grace period."""
         host = self._pick_host()
         if host is None:
             return
         began_at, life = now(), host.life
         life.send(signal.SIGTERM)
         await self._wait_stopped(life)
-        self._note("stop", host.name, began_at, is_planned=True)
+        self._record_fault("stop", host.name, began_at, is_planned=True)
         self._world.start_host(host)
 
-    async def _reload(self, lasts: float) -> None:
+    async def _reload(self, duration: float) -> None:
         host = self._pick_host()
         if host is None:
             return
         began_at = now()
-        host.change_settings()
+        host.touch_settings()
         host.life.send(signal.SIGHUP)
-        await asyncio.sleep(lasts / 4)
-        self._note("reload", host.name, began_at, is_planned=True)
+        await asyncio.sleep(duration / 4)
+        self._record_fault("reload", host.name, began_at, is_planned=True)
 
-    async def _break_store_link(self, lasts: float) -> None:
+    async def _break_store_link(self, duration: float) -> None:
         host = self._rng.choice(list(self._world.hosts_by_name.values()))
         began_at = now()
         host.store_link.fail(self._rng.choice(LINK_FAULTS))
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         host.store_link.fail(LinkFault.NONE)
-        self._note("store link", f"store of {host.name}", began_at)
+        self._record_fault("store link", f"store of {host.name}", began_at)
 
-    async def _break_store(self, lasts: float) -> None:
+    async def _break_store(self, duration: float) -> None:
         store, began_at = self._world.store, now()
         if self._rng.random() < 0.5:
             store.refusal = self._rng.choice((429, 503))
         else:
             store.is_silent = True
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         store.refusal, store.is_silent = None, False
-        self._note("store", "store", began_at)
+        self._record_fault("store", "store", began_at)
 
-    async def _compact(self, lasts: float) -> None:
+    async def _compact(self, duration: float) -> None:
         store, began_at = self._world.store, now()
         store.is_deaf = True
-        await asyncio.sleep(min(lasts, 1.0))
+        await asyncio.sleep(min(duration, 1.0))
         store.is_deaf = False
         store.forget_history()
-        self._note("compact", "store", began_at)
+        self._record_fault("compact", "store", began_at)
 
-    async def _crash(self, lasts: float) -> None:
+    async def _crash(self, duration: float) -> None:
         place = self._pick_place()
         if place is None:
             return
         began_at, name = now(), place.runner.name
         await self._world.stop_runner(place)
-        await asyncio.sleep(lasts / 2)
-        # Its entry lapses later than the next endpoint takes its address.
+        await asyncio.sleep(duration / 2)
+        # The next endpoint reuses the address while the entry of the crashed one is
+        # still in the store.
         await self._world.start_runner(place)
-        await asyncio.sleep(lasts / 2)
+        await asyncio.sleep(duration / 2)
         self._world.store.remove("servers", name)
-        self._note("endpoint crash", name, began_at)
+        self._record_fault("endpoint crash", name, began_at)
 
-    async def _break_endpoint_link(self, lasts: float) -> None:
+    async def _break_endpoint_link(self, duration: float) -> None:
         place = self._pick_place()
         if place is None:
             return
         began_at = now()
         place.link.fail(self._rng.choice(LINK_FAULTS))
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         place.link.fail(LinkFault.NONE)
-        self._note("endpoint link", str(place.link.port), began_at)
+        self._record_fault("endpoint link", str(place.link.port), began_at)
 
-    async def _drain(self, lasts: float) -> None:
-        """Let an endpoint leave as planned, and another one come in its place."""
+    async def _drain(self, duration: float) -> None:
+        """Drain an endpoint as planned, then replace it at the same address."""
         place = self._pick_place()
         if place is None:
             return
         began_at, runner = now(), place.runner
-        self._world.enter(place, state="draining")
+        self._world.put_entry(place, state="draining")
         self._evidence.draining_since[runner.name] = began_at
-        await asyncio.sleep(4.0 + lasts)
+        await asyncio.sleep(4.0 + duration)
         if place.runner is runner:
             await self._world.stop_runner(place)
             self._world.store.remove("servers", runner.name)
             await self._world.start_runner(place)
-        self._note("endpoint drain", runner.name, began_at, is_planned=True)
+        self._record_fault("endpoint drain", runner.name, began_at, is_planned=True)
 
-    async def _spoil(self, lasts: float) -> None:
+    async def _corrupt_answers(self, duration: float) -> None:
         place = self._pick_place()
         if place is None:
             return
@@ -181,13 +182,13 @@
         )
         for name, value in change.items():
             setattr(faults, name, value)
-        await asyncio.sleep(lasts)
-        sound = RunnerFaults()
+        await asyncio.sleep(duration)
+        defaults = RunnerFaults()
         for name in change:
-            setattr(faults, name, getattr(sound, name))
-        self._note("wrong answers", str(place.link.port), began_at)
+            setattr(faults, name, getattr(defaults, name))
+        self._record_fault("wrong answers", str(place.link.port), began_at)
 
-    async def _configure(self, lasts: float) -> None:
+    async def _configure(self, duration: float) -> None:
         for _ in range(self._rng.choice((1, 1, 5))):
             self._world.change_config()
             await asyncio.sleep(self._rng.uniform(0, 0.2))
--- a/soak/host.py
+++ b/soak/host.py
@@ -1,4 +1,4 @@
-"""One host: where it is reached, and the processes that ran it in turn."""
+"""One host of a soak run: its addresses, settings file and successive processes."""
 
 import asyncio
 import os
@@ -13,31 +13,32 @@
 
 from passtally.platform.settings import METRICS_PORT
 from passtally.platform.settings_file import FILE_VARIABLE
-from soak.ends import ENDING_SIGNALS, End, Told
+from soak.ends import ENDING_SIGNALS, ProcessExit, SentSignal
 from soak.evidence import now
 from soak.link import FaultyLink
 from soak.network import FRONT_PORT
 
-#: How long a connection on the loopback may take, in seconds.
-CONNECT_SECONDS = 0.5
+#: Timeout for a connection over the loopback interface, in seconds.
+CONNECT_TIMEOUT_SECONDS = 0.5
+#: Number of bytes at the end of a log in which its last line is looked for.
 LAST_LINE_BYTES = 2000
-#: What the address for callers is called.
+#: Name of the address for callers, among the addresses of a host.
 FRONT = "callers"
 
 
 @attrs.define(kw_only=True, eq=False)
 class Life:
-    """One process of a host, from its start to its end.
+    """One process of a host, from its start to its exit.
 
     Attributes:
         host: The host.
-        number: Which of the host's lives.
+        number: Its number among the host's processes, from 1.
         popen: The process.
-        log: Where its output goes.
-        started_at: When, on the monotonic clock, in seconds.
-        ended_at: When it was seen to have ended; None while it runs.
-        told: What the soak has sent it.
-        pauses: How many pauses of it are under way.
+        log: The file with its output.
+        started_at: Time of its start on the monotonic clock, in seconds.
+        ended_at: Time at which its exit was noticed; None while it runs.
+        told: The signals that the soak sent to it, in order.
+        pauses: Number of pause faults (SIGSTOP) in effect on it.
     """
 
     host: "HostProcess"
@@ -46,42 +47,42 @@
     log: Path
     started_at: float = attrs.field(factory=now)
     ended_at: float | None = None
-    told: list[Told] = attrs.field(factory=list)
+    told: list[SentSignal] = attrs.field(factory=list)
     pauses: int = 0
 
     @property
     def name(self) -> str:
-        """What it is called in what is reported."""
+        """Its name in reports: the host's name and its number."""
         return f"{self.host.name}.{self.number}"
 
     @property
     def is_over(self) -> bool:
-        """Whether the process has ended."""
+        """Whether the process has exited; records the time when it is first noticed."""
         if self.popen.poll() is None:
             return False
         self.ended_at = self.ended_at or now()
         return True
 
     @property
-    def was_told_to_end(self) -> bool:
-        """Whether who told it to end will start the host again."""
+    def was_sent_ending_signal(self) -> bool:
+        """Whether the soak sent a signal that stops it, and so restarts the host."""
         return any(told.number in ENDING_SIGNALS for told in self.told)
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, unless the process has ended."""
-        had_begun = self._has_begun()
+        """Send and record a signal, unless the process has exited."""
+        had_started = self._has_started()
         if self.is_over:
             return
-        self.told.append(Told(number=number, had_begun=had_begun))
+        self.told.append(SentSignal(number=number, had_started=had_started))
         self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End it without notice."""
+        """Send SIGKILL to the process."""
         self.send(signal.SIGKILL)
 
-    def end(self) -> End:
-        """Return how it ended; it has to be over."""
-        return End(
+    def exit_record(self) -> ProcessExit:
+        """Return the record of its exit; waits for the exit if it still runs."""
+        return ProcessExit(
             host=self.host.name,
             life=self.number,
             status=self.popen.wait(),
@@ -92,18 +93,23 @@
         )
 
     def last_line(self) -> str:
-        """Return the last line of its log."""
+        """Return the last line of its log; empty if there is none."""
         tail = self.log.read_bytes()[-LAST_LINE_BYTES:].decode(errors="replace")
         return (tail.strip().splitlines() or [""])[-1]
 
-    def _has_begun(self) -> bool:
-        """Whether the program ran so far that it has a log or can be reached."""
+    def _has_started(self) -> bool:
+        """Whether the program has written a log line or accepts callers.
+
+        A connection proves nothing while another socket occupies the address.
+        """
         if self.log.stat().st_size:
             return True
         if FRONT in self.host.held:
             return False
         try:
-            socket.create_connection(self.host.front, timeout=CONNECT_SECONDS).close()
+            socket.create_connection(
+                self.host.front, timeout=CONNECT_TIMEOUT_SECONDS
+            ).close()
         except OSError:
             return False
         return True
@@ -111,18 +117,18 @@
 
 @attrs.define(kw_only=True, eq=False)
 class HostProcess:
-    """One host.
+    """One host, with its settings file and the processes that ran it.
 
     Attributes:
         name: Its name.
         path: Its settings file.
-        settings: What is to stand there, by key.
-        ip: The loopback address that it has for itself.
-        store_link: Leads to the store, by the address that it is told.
-        spare_link: Leads there by another one.
-        front_port: Where callers come to.
-        lives: Its processes, the last one last.
-        held: Which of its addresses another socket has, by name.
+        settings: The intended content of the settings file, by key.
+        ip: Its loopback address, which no other host shares.
+        store_link: The link to the store whose address is in its settings.
+        spare_link: A second link to the store, for changes of that address.
+        front_port: The port that callers connect to.
+        lives: Its processes in order of their starts.
+        held: Names of its addresses that another socket occupies.
     """
 
     name: str
@@ -137,12 +143,12 @@
 
     @property
     def front(self) -> tuple[str, int]:
-        """Where callers reach it."""
+        """The address that callers connect to."""
         return self.ip, self.front_port
 
     @property
     def addresses_by_name(self) -> dict[str, tuple[str, int]]:
-        """All that it listens at."""
+        """The addresses that it listens on, by name."""
         keys_by_name = {
             FRONT: "listen.front",
             "readiness": "listen.ready",
@@ -157,32 +163,36 @@
 
     @property
     def life(self) -> Life:
-        """Its process of now, or the last one."""
+        """Its latest process, whether it runs or has exited."""
         return self.lives[-1]
 
     @property
     def is_up(self) -> bool:
-        """Whether its process runs."""
+        """Whether its latest process is running."""
         return bool(self.lives) and not self.life.is_over
 
-    def change_settings(self) -> None:
-        """Write something into its settings that changes nothing else."""
+    def touch_settings(self) -> None:
+        """Write its settings file with a new value of a key that has no effect."""
         self.settings["soak.note"] = str(now())
         self.write_settings()
 
     def write_settings(self) -> None:
-        """Write its whole settings file."""
+        """Write its complete settings file."""
         self.path.write_text(self._text)
 
-    def break_settings(self, part: float) -> None:
-        """Write a file of which a part is missing at the end; all if that is 0."""
+    def write_truncated_settings(self, part: float) -> None:
+        """Write its settings file truncated to a share of its length.
+
+        Args:
+            part: The share, from 0 (an empty file) to 1 (all but the last character).
+        """
         self.path.write_text(self._text[: int(part * (len(self._text) - 1))])
 
     async def accepts(self, address: str) -> bool:
-        """Return whether a connection to one of its addresses comes up."""
+        """Return whether an address accepts connections."""
         ip, _, port = address.rpartition(":")
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 _, writer = await asyncio.open_connection(ip, int(port))
         except (OSError, TimeoutError):
             return False
@@ -194,10 +204,10 @@
         return "".join(f"{key}={value}\n" for key, value in self.settings.items())
 
     def start(self, environment: Mapping[str, str]) -> None:
-        """Start a process, unless one runs.
+        """Start a process, unless one is running.
 
         Args:
-            environment: Variables beside those of this process.
+            environment: Environment variables, added to those of the soak.
         """
         if self.is_up:
             return
--- a/soak/link.py
+++ b/soak/link.py
@@ -1,66 +1,67 @@
-"""A loopback link that delays, silences, cuts one way or resets what it carries."""
+"""A loopback TCP proxy that can delay, block or reset its connections."""
 
 import asyncio
 from enum import StrEnum
 
 CHUNK_BYTES = 1 << 16
+#: Delay of each chunk under ``LinkFault.DELAY``, in seconds.
 DELAY_SECONDS = 0.08
 
 
 class LinkFault(StrEnum):
-    """What a link does wrong."""
+    """The fault in effect on a link."""
 
     NONE = "none"
-    #: Everything arrives late.
+    #: Each chunk is delayed, in both directions.
     DELAY = "delay"
-    #: Nothing arrives, in either direction, until the fault ends.
+    #: Data in both directions is blocked until the fault ends.
     SILENT = "silent"
-    #: What the far side sends does not arrive until the fault ends.
+    #: Data from the target is blocked until the fault ends.
     ONE_WAY = "one_way"
-    #: Connections are reset, and new ones too.
+    #: Open and new connections are reset.
     RESET = "reset"
 
 
 class FaultyLink:
-    """Passes connections on to a port on the loopback.
+    """Forwards connections to a port on the loopback interface.
 
     Args:
-        target: The port; it may change.
+        target: The port; a change applies to new connections.
     """
 
     def __init__(self, *, target: int) -> None:
         self.target = target
         self.port = 0
         self.fault = LinkFault.NONE
-        self._healed = asyncio.Event()
-        self._healed.set()
+        self._unblocked = asyncio.Event()
+        self._unblocked.set()
         self._writers: set[asyncio.StreamWriter] = set()
-        self._silent: set[asyncio.StreamWriter] = set()
+        self._silenced_writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> int:
-        """Listen, where it did before if it was stopped, and return the port."""
+        """Listen and return the port; after a stop, on the same port as before."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
         return self.port
 
     def stop(self) -> None:
-        """Stop listening and reset what is open."""
+        """Stop listening and reset all open connections."""
         self._server.close()
         self.reset()
 
     @property
     def is_listening(self) -> bool:
-        """Whether connections are taken."""
+        """Whether the link accepts connections."""
         return self._server is not None and self._server.is_serving()
 
     def fail(self, fault: LinkFault) -> None:
         """Begin a fault, or end it with ``LinkFault.NONE``."""
         self.fault = fault
         if fault in (LinkFault.SILENT, LinkFault.ONE_WAY):
-            self._healed.clear()
+            self._unblocked.clear()
         else:
-            self._healed.set()
+            self._unblocked.set()
         if fault is LinkFault.RESET:
             self.reset()
 
@@ -70,8 +71,8 @@
             writer.transport.abort()
 
     def silence_open(self) -> None:
-        """Swallow for good what open connections carry; new ones work."""
-        self._silent |= self._writers
+        """Drop all further data on the open connections; new ones work."""
+        self._silenced_writers |= self._writers
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -94,7 +95,7 @@
             )
         finally:
             self._writers -= {writer, far_writer}
-            self._silent -= {writer, far_writer}
+            self._silenced_writers -= {writer, far_writer}
 
     async def _pump(
         self,
@@ -103,14 +104,14 @@
         *,
         is_answer: bool,
     ) -> None:
-        """Pass bytes on until one side ends; a reset stays a reset."""
+        """Forward bytes until the sender closes; forward a reset as a reset."""
         try:
             while chunk := await reader.read(CHUNK_BYTES):
                 if self.fault is LinkFault.DELAY:
                     await asyncio.sleep(DELAY_SECONDS)
                 if is_answer or self.fault is LinkFault.SILENT:
-                    await self._healed.wait()
-                if writer in self._silent:
+                    await self._unblocked.wait()
+                if writer in self._silenced_writers:
                     continue
                 writer.write(chunk)
                 await writer.drain()
--- a/soak/network.py
+++ b/soak/network.py
@@ -1,68 +1,76 @@
-"""A loopback network that one run has for itself."""
+"""A loopback network that no other soak run on the machine uses."""
 
 import os
 import socket
 
 from passtally.platform.settings import METRICS_PORT
 
-#: Where each host of a run listens, at an address of its own. The ports are below
-#: those that the kernel gives to connections and to listeners that ask for any.
+#: Ports that each host listens on, at its own address. They are below the range from
+#: which the kernel assigns ephemeral ports to connections and to listeners on port 0.
 FRONT_PORT = 8740
 CONTROL_PORT = 8748
 READY_PORT = 8749
-#: Where settings that change may tell it to listen instead.
+#: Ports that hosts may be moved to when their settings change.
 FRONT_PORTS = (FRONT_PORT, 8741, 8742)
 CONTROL_PORTS = (CONTROL_PORT, 8746, 8747)
 READY_PORTS = (READY_PORT, 8743)
 HOST_PORTS = (*FRONT_PORTS, *CONTROL_PORTS, *READY_PORTS, METRICS_PORT)
-#: A run holds this port at the first address of its network until it ends.
+#: Port that a run keeps bound at the first address of its network, to claim it.
 CLAIM_PORT = 8739
-#: The second and third number of the networks, 127.X.Y.0/24, that runs may have.
-FIRST_PARTS = range(220, 251)
-SECOND_PARTS = range(256)
-#: Hosts have the addresses from this one on.
-FIRST_HOST = 2
+#: Second and third octets of the networks for runs, 127.X.Y.0/24.
+SECOND_OCTETS = range(220, 251)
+THIRD_OCTETS = range(256)
+#: Last octet of the first host's address; the next hosts follow.
+FIRST_HOST_OCTET = 2
 
 
 class LoopbackNetwork:
-    """A network with an address for each host, and for no other run.
+    """A loopback network with an address for each host, claimed for one run.
 
     Args:
-        hosts: How many hosts there will be.
-        first: Which network to try first.
+        hosts: Number of hosts.
+        first: Number of the network to try first; the process id if None.
 
     Raises:
-        OSError: All networks are taken.
+        OSError: All networks are in use.
     """
 
     def __init__(self, *, hosts: int, first: int | None = None) -> None:
         self._hosts = hosts
-        count = len(FIRST_PARTS) * len(SECOND_PARTS)
+        count = len(SECOND_OCTETS) * len(THIRD_OCTETS)
         first = os.getpid() if first is None else first
         for number in range(first, first + count):
-            one, two = divmod(number % count, len(SECOND_PARTS))
-            self._prefix = f"127.{FIRST_PARTS[one]}.{SECOND_PARTS[two]}"
+            second, third = divmod(number % count, len(THIRD_OCTETS))
+            self._prefix = f"127.{SECOND_OCTETS[second]}.{THIRD_OCTETS[third]}"
             if self._claim():
                 return
-        raise OSError("No loopback network is left for this run.")
+        raise OSError("All loopback networks for soak runs are in use.")
 
     def ip(self, host: int) -> str:
-        """Return the address of a host, by its number from 0."""
-        return f"{self._prefix}.{FIRST_HOST + host}"
+        """Return the address of a host.
+
+        Args:
+            host: Its number, from 0.
+        """
+        return f"{self._prefix}.{FIRST_HOST_OCTET + host}"
 
     def release(self) -> None:
-        """Leave the network to other runs."""
-        self._holder.close()
+        """Release the network for other runs."""
+        self._claim_socket.close()
 
     def _claim(self) -> bool:
-        """Take the network, unless a run or a process that one left has it."""
-        self._holder = socket.socket()
+        """Claim the network, unless it is in use.
+
+        Another run may hold its claim port, or a process that a run left behind may
+        still listen on one of the host ports.
+        """
+        self._claim_socket = socket.socket()
         try:
-            self._holder.bind((f"{self._prefix}.1", CLAIM_PORT))
+            self._claim_socket.bind((f"{self._prefix}.1", CLAIM_PORT))
             for host in range(self._hosts):
                 for port in HOST_PORTS:
                     socket.create_server((self.ip(host), port)).close()
         except OSError:
-            self._holder.close()
+            self._claim_socket.close()
             return False
         return True
--- a/soak/series.py
+++ b/soak/series.py
@@ -1,4 +1,4 @@
-"""Draws faults from a seed, in series and overlapping."""
+"""Draws faults from a seeded generator and injects them, some at the same time."""
 
 import asyncio
 import random
@@ -7,21 +7,21 @@
 
 import attrs
 
-from soak.evidence import Evidence, Trouble, now
+from soak.evidence import Evidence, FaultRecord, now
 from soak.host import HostProcess, Life
 from soak.world import GRACE_SECONDS, Place, World
 
-#: How long a fault lasts, in seconds.
-SHORTEST, LONGEST = 0.4, 3.5
+#: Minimum and maximum duration of a fault, in seconds.
+MIN_DURATION, MAX_DURATION = 0.4, 3.5
 
 
 @attrs.frozen(kw_only=True)
 class Fault:
-    """One kind of trouble.
+    """One kind of fault.
 
     Attributes:
-        weight: How often it is drawn.
-        run: Brings it about, for so many seconds.
+        weight: Its relative frequency among the kinds of a series.
+        run: Injects a fault of the kind, for a duration in seconds.
     """
 
     weight: int
@@ -29,22 +29,24 @@
 
 
 class FaultSeries:
-    """Injects faults of its kinds for a while.
+    """Injects faults of several kinds at random intervals.
 
     Attributes:
-        faults_by_name: Its kinds.
-        shortest_pause: Between two faults, in seconds; some come in series.
-        longest_pause: The longest of these pauses; most faults overlap.
+        faults_by_name: The kinds of faults, by name.
+        min_pause: Minimum time between the starts of two faults, in seconds; short, so
+            that some faults follow at once.
+        max_pause: Maximum time between these starts, in seconds; short against the
+            duration of faults, so that most overlap.
 
     Args:
-        world: What to disturb.
-        evidence: Where the faults are noted.
-        rng: Decides all.
+        world: The system to disturb.
+        evidence: The record for the faults.
+        rng: The generator of all draws.
     """
 
     faults_by_name: Mapping[str, Fault]
-    shortest_pause = 0.1
-    longest_pause = 1.5
+    min_pause = 0.1
+    max_pause = 1.5
 
     def __init__(self, *, world: World, evidence: Evidence, rng: random.Random) -> None:
         self._world = world
@@ -53,26 +55,28 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
-        """Inject faults for a while, then wait until the last one has ended."""
+        """Inject faults for a number of seconds, then wait until all have ended."""
         until = now() + seconds
         names = list(self.faults_by_name)
         weights = [self.faults_by_name[name].weight for name in names]
         while now() < until:
             name = self._rng.choices(names, weights)[0]
-            lasts = self._rng.uniform(SHORTEST, LONGEST)
-            task = asyncio.create_task(self.faults_by_name[name].run(lasts))
+            duration = self._rng.uniform(MIN_DURATION, MAX_DURATION)
+            task = asyncio.create_task(self.faults_by_name[name].run(duration))
             self._tasks.add(task)
-            await asyncio.sleep(
-                self._rng.uniform(self.shortest_pause, self.longest_pause)
-            )
+            await asyncio.sleep(self._rng.uniform(self.min_pause, self.max_pause))
         await asyncio.gather(*self._tasks)
 
     def _draw_host(self) -> HostProcess:
-        """Draw a host, whether it runs or not: so draws depend on the seed alone."""
+        """Draw a host, running or not, so that the draws depend on the seed alone."""
         return self._rng.choice(list(self._world.hosts_by_name.values()))
 
     def _pick_place(self) -> Place | None:
-        """Pick a place with an endpoint; each service keeps one."""
+        """Draw a place with an endpoint whose service has another one running.
+
+        Returns:
+            The place; None if no service has two running endpoints.
+        """
         running = [place for place in self._world.places if place.runner is not None]
         spare = [
             place
@@ -81,20 +85,20 @@
         ]
         return self._rng.choice(spare) if spare else None
 
-    def _note(
+    def _record_fault(
         self, kind: str, target: str, began_at: float, *, is_planned: bool = False
     ) -> None:
-        trouble = Trouble(
+        fault = FaultRecord(
             kind=kind,
             target=target,
             began_at=began_at,
             ended_at=now(),
             is_planned=is_planned,
         )
-        self._evidence.troubles.append(trouble)
+        self._evidence.faults.append(fault)
 
     async def _wait_stopped(self, life: Life) -> None:
-        """Wait for the end of a planned stop; what outlasts its grace is killed."""
+        """Wait for a process to stop, and kill it at the end of its grace period."""
         try:
             await asyncio.to_thread(life.popen.wait, GRACE_SECONDS)
         except subprocess.TimeoutExpired:
--- a/soak/words.py
+++ b/soak/words.py
@@ -1,152 +1,167 @@
-"""Endpoints that leave or ask for rest by their answers, and a store from a copy."""
+"""Endpoints that announce directives, and a store restored from an older copy."""
 
 import asyncio
 import random
 
 import attrs
 
-from soak.evidence import DRAIN_SECONDS, MARGIN_SECONDS, Evidence, Seen, now
+from soak.evidence import DRAIN_SECONDS, MARGIN_SECONDS, Evidence, TryOutcome, now
 from soak.series import Fault, FaultSeries
 from soak.world import World
 
-#: Requests that come so soon after their host was turned away were under way already.
-UNDER_WAY_SECONDS = 0.5
-#: The most that may come in the rest of the time.
-MOST_WHILE_RESTING = 2
-RESTS = ("0.7", "1.5", "2", "soon")
-#: How long the store is away, at most, and how long it takes until what was lost is
-#: written again, in seconds.
-AWAY_SECONDS = 0.8
-WRITTEN_AFTER_SECONDS = 1.5
+#: Time after a rejection during which requests of the host may still arrive because
+#: they were already in flight, in seconds.
+IN_FLIGHT_SECONDS = 0.5
+#: Maximum number of a host's requests that may arrive in the rest of a back-off.
+MAX_DURING_BACKOFF = 2
+#: Back-offs that endpoints ask for, in seconds; "soon" is not valid.
+BACKOFFS = ("0.7", "1.5", "2", "soon")
+#: Maximum time for which the store is unavailable, and maximum time from then on until
+#: the objects that the copy lacks are written again, in seconds.
+MAX_OUTAGE_SECONDS = 0.8
+MAX_REWRITE_SECONDS = 1.5
 
 
 @attrs.frozen(kw_only=True)
-class Told:
-    """What an endpoint told all that asked it, for a while.
+class AnnouncedDirective:
+    """A directive that an endpoint announced in its answers, and when.
 
     Attributes:
         endpoint_id: The endpoint.
-        since: Since when.
-        until: Until when.
-        rest: The seconds of rest that it asked for; None where it said that it leaves.
+        since: Start of the announcement on the monotonic clock, in seconds.
+        until: End of the announcement.
+        backoff: The back-off that it asked for, in seconds; None for leaving.
     """
 
     endpoint_id: str
     since: float
     until: float
-    rest: float | None = None
+    backoff: float | None = None
 
 
 class WordSaboteur(FaultSeries):
-    """Lets endpoints speak by their answers alone, and the store forget."""
+    """Lets endpoints announce directives, and restores the store from older copies."""
 
-    shortest_pause = 0.5
-    longest_pause = 3.0
+    min_pause = 0.5
+    max_pause = 3.0
 
     def __init__(self, *, world: World, evidence: Evidence, rng: random.Random) -> None:
         super().__init__(world=world, evidence=evidence, rng=rng)
-        self._told: list[Told] = []
+        self._directives: list[AnnouncedDirective] = []
         self.faults_by_name = {
-            "leaving": Fault(weight=3, run=self._leave),
-            "rest": Fault(weight=3, run=self._rest),
-            "older copy": Fault(weight=2, run=self._come_back),
+            "leaving": Fault(weight=3, run=self._announce_leaving),
+            "rest": Fault(weight=3, run=self._announce_backoff),
+            "older copy": Fault(weight=2, run=self._restore_older_copy),
         }
 
-    async def _leave(self, lasts: float) -> None:
-        """Let an endpoint say that it leaves, and another one come in its place."""
+    async def _announce_leaving(self, duration: float) -> None:
+        """Let an endpoint announce that it leaves, then replace it."""
         place = self._pick_place()
         if place is None:
             return
         began_at, runner = now(), place.runner
         runner.faults.leaving = "1"
-        await asyncio.sleep(DRAIN_SECONDS + MARGIN_SECONDS + lasts)
-        self._told.append(Told(endpoint_id=runner.name, since=began_at, until=now()))
+        await asyncio.sleep(DRAIN_SECONDS + MARGIN_SECONDS + duration)
+        self._directives.append(
+            AnnouncedDirective(endpoint_id=runner.name, since=began_at, until=now())
+        )
         if place.runner is runner:
             await self._world.stop_runner(place)
             self._world.store.remove("servers", runner.name)
             await self._world.start_runner(place)
-        self._note("leaving", runner.name, began_at, is_planned=True)
+        self._record_fault("leaving", runner.name, began_at, is_planned=True)
 
-    async def _rest(self, lasts: float) -> None:
+    async def _announce_backoff(self, duration: float) -> None:
         place = self._pick_place()
         if place is None:
             return
         began_at, runner = now(), place.runner
-        text = runner.faults.rest = self._rng.choice(RESTS)
-        await asyncio.sleep(lasts)
+        text = runner.faults.rest = self._rng.choice(BACKOFFS)
+        await asyncio.sleep(duration)
         runner.faults.rest = None
         if text != "soon":
-            told = Told(
+            directive = AnnouncedDirective(
                 endpoint_id=runner.name,
                 since=began_at,
                 until=now(),
-                rest=float(text),
+                backoff=float(text),
             )
-            self._told.append(told)
-        self._note("rest", runner.name, began_at)
+            self._directives.append(directive)
+        self._record_fault("rest", runner.name, began_at)
 
-    async def _come_back(self, lasts: float) -> None:
-        """Let the store come back as it was; what it lost is written again."""
+    async def _restore_older_copy(self, duration: float) -> None:
+        """Restore the store from an older copy, then write the lost objects again."""
         store, began_at = self._world.store, now()
         copy = store.copy()
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         store.refusal = 503
-        await asyncio.sleep(self._rng.uniform(0.1, AWAY_SECONDS))
+        await asyncio.sleep(self._rng.uniform(0.1, MAX_OUTAGE_SECONDS))
         store.come_back(copy)
         store.refusal = None
-        await asyncio.sleep(self._rng.uniform(0.1, WRITTEN_AFTER_SECONDS))
-        self._world.write_again(copy)
-        self._note("older copy", "store", began_at)
+        await asyncio.sleep(self._rng.uniform(0.1, MAX_REWRITE_SECONDS))
+        self._world.rewrite_entries(copy)
+        self._record_fault("older copy", "store", began_at)
 
     def judge(self) -> None:
-        """Look for requests that came though the endpoint had said it wants none."""
-        seen_by_id = {seen.id: seen for seen in self._evidence.tries}
-        for told in self._told:
+        """Report requests that reached endpoints against their directives."""
+        tries_by_id = {outcome.id: outcome for outcome in self._evidence.tries}
+        for directive in self._directives:
             arrivals = [
-                (at, seen_by_id[request_id])
+                (at, tries_by_id[request_id])
                 for at, endpoint_id, request_id in self._evidence.arrivals
-                if endpoint_id == told.endpoint_id
-                and told.since <= at <= told.until
-                and request_id in seen_by_id
+                if endpoint_id == directive.endpoint_id
+                and directive.since <= at <= directive.until
+                and request_id in tries_by_id
             ]
-            for host in {seen.host for _, seen in arrivals}:
-                own = [(at, seen) for at, seen in arrivals if seen.host == host]
-                if told.rest is None:
-                    self._judge_leaving(told, host, own)
+            for host in {outcome.host for _, outcome in arrivals}:
+                arrivals_of_host = [
+                    (at, outcome) for at, outcome in arrivals if outcome.host == host
+                ]
+                if directive.backoff is None:
+                    self._judge_leaving(directive, host, arrivals_of_host)
                 else:
-                    self._judge_rest(told, host, [at for at, _ in own])
+                    self._judge_backoff(
+                        directive, host, [at for at, _ in arrivals_of_host]
+                    )
 
     def _judge_leaving(
-        self, told: Told, host: str, own: list[tuple[float, Seen]]
+        self,
+        directive: AnnouncedDirective,
+        host: str,
+        arrivals_of_host: list[tuple[float, TryOutcome]],
     ) -> None:
-        answered = [seen.ended_at for _, seen in own if seen.status]
+        answered = [
+            outcome.ended_at for _, outcome in arrivals_of_host if outcome.status
+        ]
         if not answered:
             return
-        heard_at = min(answered)
-        late = heard_at + DRAIN_SECONDS
-        count = sum(seen.sent_at > late for _, seen in own)
-        if count and not self._is_excused(host, heard_at, told.until):
+        received_at = min(answered)
+        deadline = received_at + DRAIN_SECONDS
+        count = sum(outcome.sent_at > deadline for _, outcome in arrivals_of_host)
+        if count and not self._is_excused(host, received_at, directive.until):
             self._evidence.report(
-                f"{told.endpoint_id} got {count} requests of {host} long after it said"
-                " that it leaves"
+                f"{directive.endpoint_id} got {count} requests of {host} long after it"
+                " announced that it leaves"
             )
 
-    def _judge_rest(self, told: Told, host: str, times: list[float]) -> None:
-        for turned_away_at in times:
-            until = turned_away_at + told.rest
-            count = sum(turned_away_at + UNDER_WAY_SECONDS < at < until for at in times)
-            if count > MOST_WHILE_RESTING and not self._is_excused(
-                host, turned_away_at, until
+    def _judge_backoff(
+        self, directive: AnnouncedDirective, host: str, times: list[float]
+    ) -> None:
+        for rejected_at in times:
+            until = rejected_at + directive.backoff
+            count = sum(rejected_at + IN_FLIGHT_SECONDS < at < until for at in times)
+            if count > MAX_DURING_BACKOFF and not self._is_excused(
+                host, rejected_at, until
             ):
                 self._evidence.report(
-                    f"{told.endpoint_id} had asked {host} for {told.rest:g} s of rest,"
-                    f" and got {count} requests"
+                    f"{directive.endpoint_id} had asked {host} for"
+                    f" {directive.backoff:g} s of back-off, and got {count} requests"
                 )
                 return
 
     def _is_excused(self, host: str, since: float, until: float) -> bool:
-        """Whether the host was started again, paused or cut off meanwhile."""
+        """Whether a fault of the host, such as a restart, may be the cause."""
         return any(
-            trouble.target == host and trouble.is_felt(since, until)
-            for trouble in self._evidence.troubles
+            fault.target == host and fault.may_affect(since, until)
+            for fault in self._evidence.faults
         )
--- a/soak/world.py
+++ b/soak/world.py
@@ -1,4 +1,4 @@
-"""The processes and stand-ins of one run, and the links between them."""
+"""The hosts, endpoints and object store of one soak run, and the links between them."""
 
 import asyncio
 import random
@@ -21,22 +21,27 @@
 from standins.platform_config import ENGINE, LOOKUPS, make_config
 from standins.runner import RunnerStandIn
 
-#: Events of one stream, and the pause between two: a run takes 1.2 s.
+#: Number of events in a stream and the interval between them, in seconds; a complete
+#: stream takes 1.2 s.
 EVENTS = 40
-GAP_SECONDS = 0.03
-#: How long a planned stop may take, in seconds.
+EVENT_INTERVAL_SECONDS = 0.03
+#: Grace period of a planned stop, in seconds; a host still running then is killed.
 GRACE_SECONDS = 6
+#: Time in which all hosts must receive the configuration after the start, in seconds.
 START_SECONDS = 20.0
-#: How many hosts the others are told of.
-SEEDS = 3
-#: The platform starts a host that ended by itself again after this, in seconds.
-RESTART_SECONDS = 1.0
-WATCH_SECONDS = 0.05
+#: Number of hosts that are listed as seeds in every host's settings.
+SEED_HOSTS = 3
+#: Delay before a host that exited by itself is restarted, in seconds.
+RESTART_DELAY_SECONDS = 1.0
+#: Interval between checks of the hosts, in seconds.
+HOST_POLL_SECONDS = 0.05
+#: Part of the name of the metric with the configuration version in force.
 VERSION_METRIC = "config_version"
 
-#: Hosts reach the store over links of their own, so they can't derive one key.
-_ENVIRONMENT = {variable_of("resume_keys"): "soak:only-for-this-run-of-the-soak"}
-#: What the body of a request begins with that ends each endpoint that runs it.
+#: Each host reaches the store over a separate link, so the hosts can't derive a common
+#: key for their messages from the store's address. The key is therefore set.
+_HOST_ENVIRONMENT = {variable_of("resume_keys"): "soak:only-for-this-run-of-the-soak"}
+#: Prefix of the body of a fatal request, which crashes every endpoint that runs it.
 FATAL_PREFIX = b"fatal "
 _SETTINGS = """\
 node_name={name}
@@ -56,8 +61,8 @@
 """
 
 
-class SeenRunner(RunnerStandIn):
-    """An endpoint that notes what reaches it."""
+class TracedRunner(RunnerStandIn):
+    """An endpoint that records which requests reach it and which of them run."""
 
     evidence: Evidence
 
@@ -78,20 +83,20 @@
 
 @attrs.define(kw_only=True)
 class Place:
-    """An address at which one endpoint after the other runs.
+    """An address that successive endpoints of one service use.
 
     Attributes:
-        service: What runs there.
+        service: The service of its endpoints.
         domain: Its failure domain.
-        link: Leads there.
-        runner: What runs there now.
-        state: What its entry says of it.
+        link: The link through which hosts reach the endpoint.
+        runner: The running endpoint; None while there is none.
+        state: The state in the endpoint's store entry.
     """
 
     service: str
     domain: str
     link: FaultyLink
-    runner: SeenRunner | None = None
+    runner: TracedRunner | None = None
     state: str = "ready"
 
 
@@ -99,9 +104,9 @@
     """Hosts, endpoints and the store of one run.
 
     Args:
-        folder: Where settings and logs go.
-        evidence: What is seen.
-        rng: Decides names.
+        folder: The folder for the settings files and logs of the hosts.
+        evidence: The record of the run.
+        rng: The generator of endpoint names and configuration versions.
     """
 
     def __init__(self, *, folder: Path, evidence: Evidence, rng: random.Random) -> None:
@@ -113,15 +118,17 @@
         self.evidence = evidence
         self._rng = rng
         self._network: LoopbackNetwork | None = None
-        #: Called with an endpoint that a request has ended, and where it was.
-        self.on_crash: Callable[[Place, SeenRunner], None] = lambda place, runner: None
+        #: Callback for each endpoint that a request crashed, with its place.
+        self.on_crash: Callable[[Place, TracedRunner], None] = lambda place, runner: (
+            None
+        )
 
     def addresses_by_host(self) -> dict[str, tuple[str, int]]:
-        """Return where callers reach the hosts, running or not."""
+        """Return the address for callers of each host, whether it runs or not."""
         return {name: host.front for name, host in self.hosts_by_name.items()}
 
     async def start(self, *, hosts: int, engines: int, lookups: int) -> None:
-        """Start everything; hosts may take a while to be ready."""
+        """Start the store, endpoints and hosts, without waiting for readiness."""
         self.store.put("config", "main", make_config(self.version))
         store_port = await self.store.start()
         for number in range(engines + lookups):
@@ -133,15 +140,17 @@
             await self.start_runner(place)
         self._network = LoopbackNetwork(hosts=hosts)
         ips = [self._network.ip(number) for number in range(hosts)]
-        seeds = ",".join(f"{ip}:{CONTROL_PORT}" for ip in ips[:SEEDS])
+        seeds = ",".join(f"{ip}:{CONTROL_PORT}" for ip in ips[:SEED_HOSTS])
         for number, ip in enumerate(ips):
             await self._add_host(number, ip, seeds, store_port)
 
     async def wait_configured(self) -> bool:
-        """Wait until all hosts have the configuration, and report those that don't.
+        """Wait until all hosts run with the current configuration version.
+
+        Reports each host that does not within ``START_SECONDS``.
 
         Returns:
-            Whether all have it.
+            Whether all hosts have the configuration.
         """
         waiting = list(self.hosts_by_name.values())
         until = now() + START_SECONDS
@@ -152,7 +161,7 @@
                 for host, version in zip(waiting, versions, strict=True)
                 if version != self.version
             ]
-            await asyncio.sleep(WATCH_SECONDS)
+            await asyncio.sleep(HOST_POLL_SECONDS)
         for host in waiting:
             self.evidence.report(
                 f"{host.name} has no configuration {START_SECONDS:.0f} s after the"
@@ -161,23 +170,23 @@
         return not waiting
 
     async def restart_ended(self) -> None:
-        """Start hosts that ended by themselves again, as the platform does."""
+        """Restart hosts that exited by themselves, as the platform does."""
         while True:
             for host in self.hosts_by_name.values():
                 life = host.life
-                if not life.is_over or life.was_told_to_end:
+                if not life.is_over or life.was_sent_ending_signal:
                     continue
-                if now() > life.ended_at + RESTART_SECONDS:
+                if now() > life.ended_at + RESTART_DELAY_SECONDS:
                     self.start_host(host)
-            await asyncio.sleep(WATCH_SECONDS)
+            await asyncio.sleep(HOST_POLL_SECONDS)
 
     async def stop(self) -> None:
-        """End every process that was started here, and all stand-ins."""
+        """Kill all host processes and stop the endpoints, links and the store."""
         for host in self.hosts_by_name.values():
             if host.is_up:
                 host.life.popen.send_signal(signal.SIGCONT)
                 host.life.kill()
-            self.evidence.ends += [life.end() for life in host.lives]
+            self.evidence.exits += [life.exit_record() for life in host.lives]
             host.store_link.stop()
             host.spare_link.stop()
         for place in self.places:
@@ -189,13 +198,13 @@
             self._network.release()
 
     async def start_runner(self, place: Place) -> None:
-        """Start a new endpoint at a place and enter it in the store."""
+        """Start a new endpoint at a place and put its entry into the store."""
         name = f"i-{self._rng.getrandbits(40):010x}"
-        runner = SeenRunner(
+        runner = TracedRunner(
             name,
             events=EVENTS,
-            gap=GAP_SECONDS,
-            find=self._find,
+            gap=EVENT_INTERVAL_SECONDS,
+            find=self._find_runner,
             on_crash=lambda runner: self._record_crash(place, runner),
         )
         runner.evidence = self.evidence
@@ -205,49 +214,53 @@
         place.link.target = int(address.rpartition(":")[2])
         runner.address = f"127.0.0.1:{place.link.port}"
         place.runner = runner
-        self.enter(place)
+        self.put_entry(place)
 
-    def enter(self, place: Place, state: str = "ready") -> None:
-        """Write a place's endpoint into the store."""
+    def put_entry(self, place: Place, state: str = "ready") -> None:
+        """Put the entry of a place's endpoint into the store, with a state."""
         runner, place.state = place.runner, state
         entry = runner.entry(place.service, zone=place.domain, state=state)
         self.store.put("servers", runner.name, entry)
 
-    def write_again(self, copy: StoreCopy) -> None:
-        """Write what a store lost that came back from a copy, as it is by now."""
+    def rewrite_entries(self, copy: StoreCopy) -> None:
+        """Bring a store that was restored from a copy up to the current state.
+
+        Puts the current configuration and endpoint entries, and removes entries of
+        the copy whose endpoints no longer run.
+        """
         self.store.put("config", "main", make_config(self.version))
         places = [place for place in self.places if place.runner is not None]
         for place in places:
-            self.enter(place, state=place.state)
+            self.put_entry(place, state=place.state)
         running = {place.runner.name for place in places}
         for kind, name in copy.items:
             if kind == "servers" and name not in running:
                 self.store.remove(kind, name)
 
     async def stop_runner(self, place: Place) -> None:
-        """End a place's endpoint as a crash does; its entry stays for a while."""
+        """Stop a place's endpoint as a crash does: its store entry stays."""
         runner, place.runner = place.runner, None
         place.link.reset()
         await runner.stop()
 
-    def _record_crash(self, place: Place, runner: SeenRunner) -> None:
-        """Close the way to an endpoint that a request has ended."""
+    def _record_crash(self, place: Place, runner: TracedRunner) -> None:
+        """Stop the link to an endpoint that a request crashed."""
         if place.runner is runner:
             place.runner = None
             place.link.stop()
             self.on_crash(place, runner)
 
     def start_host(self, host: HostProcess) -> None:
-        """Start a host's process, unless another one has done so meanwhile."""
-        host.start(_ENVIRONMENT)
+        """Start a host's process, unless another fault has already started it."""
+        host.start(_HOST_ENVIRONMENT)
 
     def change_config(self) -> None:
-        """Accept a new version of the configuration; versions rise unevenly."""
+        """Publish a new configuration version, 1 to 5 above the last one."""
         self.version += self._rng.randint(1, 5)
         self.store.put("config", "main", make_config(self.version))
 
     async def read_version(self, host: HostProcess) -> int | None:
-        """Return the version in force at a host, by its metrics; None if unknown."""
+        """Return the version in force from a host's metrics; None if unreachable."""
         url = f"http://{host.ip}:{METRICS_PORT}/metrics"
         timeout = aiohttp.ClientTimeout(total=0.5)
         try:
@@ -293,7 +306,7 @@
         self.hosts_by_name[name] = host
         self.start_host(host)
 
-    def _find(self, address: str) -> SeenRunner | None:
+    def _find_runner(self, address: str) -> TracedRunner | None:
         for place in self.places:
             if place.runner is not None and place.runner.address == address:
                 return place.runner
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Which requests of a played day were late or lost, and why."""
+"""The loss report lists the late and lost requests of a recorded day, with causes."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 def streamed(first: int, longest: int) -> dict[str, str]:
-    """Return the end of a whole stream, as the front logs it."""
+    """Return the fields that the front logs for a complete stream, times in ms."""
     return {"result": f"streamed: first after {first} ms, longest pause {longest} ms"}
 
 
@@ -64,35 +64,35 @@
         losses = find_losses(read_log(write_day()), FAULTS, **limits)
         return {loss.request: loss for loss in losses}
 
-    def test_what_was_served_in_time_is_none(self):
+    def test_requests_served_in_time_are_not_listed(self):
         assert set(self.find()) == {"g2", "g3", "g4", "c1", "c3"}
 
-    def test_a_late_stream_tells_after_what(self):
+    def test_a_late_stream_has_the_event_before_the_pause_as_cause(self):
         loss = self.find()["g2"]
         assert loss.cause == "late: pause after a replica has its state"
         assert (loss.phase, loss.window, loss.endpoint) == ("resume", 2.0, "e1")
         assert self.find()["g4"].cause == "late: first output"
 
-    def test_one_without_an_end_was_lost_with_its_host(self):
+    def test_a_request_without_an_end_was_lost_with_its_host(self):
         loss = self.find()["g3"]
         assert loss.cause == "no end: its host was lost"
         assert (loss.host, loss.phase, loss.faults) == ("h2", "read", ("crash",))
 
-    def test_refusals_and_failures_are_told(self):
+    def test_rejections_and_failures_are_listed(self):
         assert self.find()["c1"].cause == "refused: overloaded"
         assert self.find()["c1"].phase == "gate"
         assert self.find()["c3"].cause == "answered: N from r"
 
-    def test_the_limits_are_the_callers(self):
+    def test_the_pause_limit_can_be_set(self):
         assert "g2" not in self.find(pause_ms=800)
 
-    def test_the_faults_come_from_the_report(self):
+    def test_faults_are_read_from_the_report(self):
         row = {"at_s": 3.2, "to_s": 4.0, "kind": "crash", "what": "2"}
         assert read_faults({"events": [row]}) == FAULTS
 
 
 class TestCommand:
-    def test_a_table_and_rows(self, tmp_path):
+    def test_the_output_is_a_table_or_rows_of_json(self, tmp_path):
         log = tmp_path / "day.txt"
         log.write_text("\n".join(write_day()))
         shown = CliRunner().invoke(main, [str(log)])
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak finds broken promises, and a short seeded run of it holds."""
+"""The soak reports broken promises, and short seeded runs of it break none."""
 
 import asyncio
 import contextlib
@@ -16,8 +16,15 @@
 
 from soak.__main__ import Setup, play_seed
 from soak.caller import Caller
-from soak.ends import STOP_SIGNALS, End, Told
-from soak.evidence import CALM_SECONDS, Asked, Evidence, Seen, Trouble, find_problem
+from soak.ends import STOP_SIGNALS, ProcessExit, SentSignal
+from soak.evidence import (
+    FAULT_EFFECT_SECONDS,
+    Evidence,
+    FaultRecord,
+    RequestOutcome,
+    TryOutcome,
+    find_problem,
+)
 from soak.link import FaultyLink, LinkFault
 from soak.network import CLAIM_PORT, HOST_PORTS, LoopbackNetwork
 from soak.starts import StartSaboteur
@@ -25,35 +32,35 @@
 from standins.runner import PROOF
 from tests.test_starts import ADDRESS_NAMES
 
-#: Seeds that once broke a promise, each with a line on the cause. A seed draws the
-#: same faults again; what the processes do between them may differ.
+#: Seeds that broke a promise, each with the cause. A seed draws the same faults again,
+#: but the timing of the processes may differ.
 FAILED_SEEDS = {
     302: "a reload that came while a host was starting ended it (20 s of faults)",
     41002: "an address in use at the start, or a stop while loading, ended a host",
-    52006: "a host at the end of its stop handed on a request and broke it off",
-    44009: "a common request was held for what fatal ones beside it had ended",
-    43007: "a host told another address of a store from a copy took its configuration",
+    52006: "a host at the end of its stop forwarded a request and aborted it",
+    44009: "a normal request was quarantined for crashes by concurrent fatal requests",
+    43007: "a host moved to a store restored from a copy applied its configuration",
 }
 CI_SEED = 7
-#: With trouble at the starts: addresses in use, early stops, kills in a row.
+#: With faults at starts: addresses in use, early stops, kills in a row.
 STARTS_SEED = 41006
 #: With settings that change while hosts serve.
 SETTINGS_SEED = 71001
-#: With requests that end what runs them, and limits that endpoints name.
+#: With fatal requests, and request limits that endpoints announce.
 REQUESTS_SEED = 90001
-#: With endpoints that leave and ask for rest by their answers, and a store from copies.
+#: With endpoints that announce leaving and back-off, and a store restored from copies.
 WORDS_SEED = 43001
 CI_SECONDS = 8
-#: As long as when they failed.
+#: Duration of fault injection when these seeds failed, in seconds.
 FAILED_SECONDS = 20
-#: From when hosts did not meet trouble at their starts: they are played without it,
-#: as they were.
+#: Seeds from before the soak had faults at starts; they run without them, as they did.
 SEEDS_WITHOUT_STARTS = frozenset((CI_SEED, 302))
-#: The others are played without what came to the soak later, as they were.
+#: Seeds that run with all kinds of faults. The others are older and run without the
+#: kinds that the soak gained later.
 SEEDS_WITH_WORDS = frozenset((WORDS_SEED, 43007, 44009))
 
 
-def seen(**fields) -> Seen:
+def outcome(**fields) -> TryOutcome:
     defaults = {
         "id": "q1",
         "kind": "booking",
@@ -61,12 +68,12 @@
         "sent_at": 10.0,
         "ended_at": 11.0,
         "status": 200,
-        "is_whole": True,
+        "is_complete": True,
     }
-    return Seen(**(defaults | fields))
+    return TryOutcome(**(defaults | fields))
 
 
-def stop(**fields) -> Trouble:
+def stop(**fields) -> FaultRecord:
     defaults = {
         "kind": "stop",
         "target": "host-0",
@@ -74,35 +81,37 @@
         "ended_at": 14.0,
         "is_planned": True,
     }
-    return Trouble(**(defaults | fields))
+    return FaultRecord(**(defaults | fields))
 
 
 class TestEvidence:
     def test_a_run_without_broken_promises_is_clean(self):
-        evidence = Evidence(tries=[seen()], troubles=[stop()])
+        evidence = Evidence(tries=[outcome()], faults=[stop()])
         evidence.ran["q1"] = 1
         assert evidence.judge() == []
 
-    def test_a_booking_that_ran_twice_is_found(self):
-        evidence = Evidence(tries=[seen()])
+    def test_a_booking_that_ran_twice_is_reported(self):
+        evidence = Evidence(tries=[outcome()])
         evidence.ran["q1"] = 2
         assert "ran 2 times" in evidence.judge()[0]
 
-    def test_a_refusal_that_is_not_true_is_found(self):
-        evidence = Evidence(tries=[seen(status=503)])
+    def test_a_rejected_booking_that_ran_is_reported(self):
+        evidence = Evidence(tries=[outcome(status=503)])
         evidence.ran["q1"] = 1
         assert "503, but it ran" in evidence.judge()[0]
 
     def test_an_unknown_outcome_promises_nothing(self):
-        evidence = Evidence(tries=[seen(status=502), seen(status=0, is_whole=False)])
+        evidence = Evidence(
+            tries=[outcome(status=502), outcome(status=0, is_complete=False)]
+        )
         evidence.ran["q1"] = 1
         assert evidence.judge() == []
 
-    def test_a_configuration_that_went_back_is_found(self):
+    def test_a_configuration_that_went_back_is_reported(self):
         evidence = Evidence(versions_by_life={"host-0.1": [1, 4, 3]})
         assert "went back" in evidence.judge()[0]
 
-    def test_work_for_a_draining_endpoint_is_found(self):
+    def test_a_request_to_a_draining_endpoint_is_reported(self):
         evidence = Evidence(
             arrivals=[(12.0, "i-1", "q1"), (14.0, "i-1", "q2")],
             draining_since={"i-1": 10.0},
@@ -116,9 +125,11 @@
             ([stop(kind="store", target="store", is_planned=False)], 0),
         ],
     )
-    def test_a_request_cut_by_a_stop_alone_is_found(self, others, found):
-        cut = seen(kind="call", is_whole=False)
-        evidence = Evidence(tries=[cut], troubles=[stop(), *others])
+    def test_a_request_cut_by_a_stop_without_other_faults_is_reported(
+        self, others, found
+    ):
+        cut = outcome(kind="call", is_complete=False)
+        evidence = Evidence(tries=[cut], faults=[stop(), *others])
         assert len(evidence.judge()) == found
 
     @pytest.mark.parametrize(
@@ -126,20 +137,18 @@
         [
             (10.1, [(10.05, "i-1", "q1")], 1),
             (10.3, [], 1),
-            # A connection that was refused, or closed as the request came.
+            # A connection that was refused, or closed as the request arrived.
             (10.1, [], 0),
         ],
     )
-    def test_a_request_that_a_stopping_host_took_is_owed_an_answer(
+    def test_a_request_accepted_by_a_stopping_host_must_be_answered(
         self, ended_at, arrivals, found
     ):
-        cut = seen(kind="call", status=0, is_whole=False, ended_at=ended_at)
-        evidence = Evidence(
-            tries=[cut], troubles=[stop(began_at=9.9)], arrivals=arrivals
-        )
+        cut = outcome(kind="call", status=0, is_complete=False, ended_at=ended_at)
+        evidence = Evidence(tries=[cut], faults=[stop(began_at=9.9)], arrivals=arrivals)
         assert len(evidence.judge()) == found
 
-    def test_answers_without_proof_or_of_nobody_are_found(self):
+    def test_answers_without_proof_or_endpoint_are_reported(self):
         headers = {"x-response-stamp": PROOF}
         assert find_problem("call", 200, headers, b"i-1 /look/1") == ""
         assert find_problem("call", 200, {}, b"i-1 /look/1")
@@ -147,39 +156,42 @@
         assert find_problem("call", 503, {}, b"{}") == ""
 
 
-def end(status: int, *told: Told) -> End:
-    return End(host="host-0", life=2, status=status, told=told, last_line="why")
+def exit_record(status: int, *told: SentSignal) -> ProcessExit:
+    return ProcessExit(host="host-0", life=2, status=status, told=told, last_line="why")
 
 
 class TestEnds:
     @pytest.mark.parametrize(
         ("status", "told"),
         [
-            (0, [Told(number=signal.SIGTERM)]),
-            (0, [Told(number=signal.SIGINT), Told(number=signal.SIGTERM)]),
-            (-9, [Told(number=signal.SIGKILL)]),
-            (-9, [Told(number=signal.SIGTERM), Told(number=signal.SIGKILL)]),
-            (-15, [Told(number=signal.SIGTERM, had_begun=False)]),
-            (-1, [Told(number=signal.SIGHUP, had_begun=False)]),
+            (0, [SentSignal(number=signal.SIGTERM)]),
+            (0, [SentSignal(number=signal.SIGINT), SentSignal(number=signal.SIGTERM)]),
+            (-9, [SentSignal(number=signal.SIGKILL)]),
+            (
+                -9,
+                [SentSignal(number=signal.SIGTERM), SentSignal(number=signal.SIGKILL)],
+            ),
+            (-15, [SentSignal(number=signal.SIGTERM, had_started=False)]),
+            (-1, [SentSignal(number=signal.SIGHUP, had_started=False)]),
         ],
     )
-    def test_an_end_that_was_told_is_allowed(self, status, told):
-        assert Evidence(ends=[end(status, *told)]).judge() == []
+    def test_an_exit_explained_by_sent_signals_is_allowed(self, status, told):
+        assert Evidence(exits=[exit_record(status, *told)]).judge() == []
 
     @pytest.mark.parametrize(
-        ("had_begun", "line", "found"),
+        ("had_started", "line", "found"),
         [
             (False, "KeyboardInterrupt", 0),
             (True, "KeyboardInterrupt", 1),
             (False, "why", 1),
         ],
     )
-    def test_an_interrupt_of_the_interpreters_own_start_is_allowed(
-        self, had_begun, line, found
+    def test_an_interrupt_while_the_interpreter_initializes_is_allowed(
+        self, had_started, line, found
     ):
-        told = Told(number=signal.SIGINT, had_begun=had_begun)
-        ended = attrs.evolve(end(1, told), last_line=line)
-        assert len(Evidence(ends=[ended]).judge()) == found
+        told = SentSignal(number=signal.SIGINT, had_started=had_started)
+        ended = attrs.evolve(exit_record(1, told), last_line=line)
+        assert len(Evidence(exits=[ended]).judge()) == found
 
     @pytest.mark.parametrize(
         ("status", "told", "how"),
@@ -187,29 +199,29 @@
             (1, [], "ended by itself with status 1"),
             (0, [], "ended by itself with status 0"),
             (-9, [], "ended by itself with status -9"),
-            (-1, [Told(number=signal.SIGHUP)], "ended by itself with status -1"),
-            (1, [Told(number=signal.SIGKILL)], "ended by itself with status 1"),
-            (120, [Told(number=signal.SIGTERM)], "stopped with status 120"),
-            (-15, [Told(number=signal.SIGTERM)], "stopped with status -15"),
-            (-2, [Told(number=signal.SIGTERM, had_begun=False)], "status -2"),
+            (-1, [SentSignal(number=signal.SIGHUP)], "ended by itself with status -1"),
+            (1, [SentSignal(number=signal.SIGKILL)], "ended by itself with status 1"),
+            (120, [SentSignal(number=signal.SIGTERM)], "stopped with status 120"),
+            (-15, [SentSignal(number=signal.SIGTERM)], "stopped with status -15"),
+            (-2, [SentSignal(number=signal.SIGTERM, had_started=False)], "status -2"),
             (
                 -15,
                 [
-                    Told(number=signal.SIGHUP, had_begun=False),
-                    Told(number=signal.SIGTERM),
+                    SentSignal(number=signal.SIGHUP, had_started=False),
+                    SentSignal(number=signal.SIGTERM),
                 ],
                 "status -15",
             ),
         ],
     )
-    def test_any_other_is_found_with_its_last_line(self, status, told, how):
-        (found,) = Evidence(ends=[end(status, *told)]).judge()
+    def test_any_other_exit_is_reported_with_the_last_log_line(self, status, told, how):
+        (found,) = Evidence(exits=[exit_record(status, *told)]).judge()
         assert found.startswith("host-0.2") and how in found and "why" in found
 
 
 @contextlib.asynccontextmanager
 async def started_world(folder: Path) -> AsyncIterator[World]:
-    """Start one host beside a store, and let the platform watch it."""
+    """Start a store and one host, which is restarted when it exits by itself."""
     world = World(folder=folder, evidence=Evidence(), rng=random.Random(1))
     await world.start(hosts=1, engines=1, lookups=1)
     watching = asyncio.create_task(world.restart_ended())
@@ -221,7 +233,7 @@
 
 
 class TestStarts:
-    def test_a_host_that_ends_by_itself_is_started_again_and_found(self, tmp_path):
+    def test_a_host_that_exits_by_itself_is_restarted_and_reported(self, tmp_path):
         async def main() -> list[str]:
             async with started_world(tmp_path) as world:
                 assert await world.wait_configured()
@@ -236,7 +248,7 @@
         (found,) = asyncio.run(main())
         assert found.startswith("host-0.1 ended by itself with status -9")
 
-    def test_a_host_without_the_configuration_in_time_is_found(
+    def test_a_host_without_the_configuration_in_time_is_reported(
         self, tmp_path, monkeypatch
     ):
         monkeypatch.setattr("soak.world.START_SECONDS", 2.0)
@@ -272,7 +284,7 @@
 
 
 class Preferring(random.Random):
-    """Draws one item wherever it can be drawn."""
+    """A generator whose choice is one given item wherever that is possible."""
 
     def __init__(self, item: object) -> None:
         super().__init__(1)
@@ -283,7 +295,7 @@
 
 
 class TestStartFaults:
-    """Each kind once, at a host that runs."""
+    """Each kind of start fault is injected once into a running host."""
 
     def play(
         self, folder: Path, name: str, rng: random.Random | None = None
@@ -298,45 +310,45 @@
                 )
                 await faults.faults_by_name[name].run(0.5)
                 assert await world.wait_configured()
-                kinds = [trouble.kind for trouble in world.evidence.troubles]
+                kinds = [fault.kind for fault in world.evidence.faults]
             return world, kinds
 
         return asyncio.run(main())
 
-    def told(self, world: World) -> list[list[int]]:
-        """Return the signals that each life was sent, but for the end of the run."""
+    def sent_signals(self, world: World) -> list[list[int]]:
+        """Return the signals sent to each process, but for the final SIGKILL."""
         lives = world.hosts_by_name["host-0"].lives
         signals = [[told.number for told in life.told] for life in lives]
         assert signals[-1].pop() == signal.SIGKILL
         return signals
 
-    def test_a_stop_early_in_a_life_comes_after_a_kill(self, tmp_path):
+    def test_an_early_stop_follows_a_kill(self, tmp_path):
         world, kinds = self.play(tmp_path, "early stop")
-        first, second, last = self.told(world)
+        first, second, last = self.sent_signals(world)
         assert first == [signal.SIGKILL] and last == []
         assert second[0] in STOP_SIGNALS
         assert kinds == ["early stop"]
 
-    def test_a_reload_early_in_a_life_leaves_it_to_the_host(self, tmp_path):
+    def test_an_early_reload_does_not_stop_the_host(self, tmp_path):
         world, kinds = self.play(tmp_path, "early reload")
-        assert self.told(world)[:2] == [[signal.SIGKILL], [signal.SIGHUP]]
+        assert self.sent_signals(world)[:2] == [[signal.SIGKILL], [signal.SIGHUP]]
         assert kinds == ["early reload"]
 
-    def test_kills_in_a_row_have_starts_between_them(self, tmp_path):
+    def test_the_host_is_restarted_between_kills_in_a_row(self, tmp_path):
         world, kinds = self.play(tmp_path, "kill in a row", random.Random(2))
-        *killed, last = self.told(world)
+        *killed, last = self.sent_signals(world)
         assert killed and last == []
         assert all(signals == [signal.SIGKILL] for signals in killed)
         assert kinds == ["kill in a row"]
 
-    def test_a_stop_that_comes_twice_is_one_planned_stop(self, tmp_path):
+    def test_two_stop_signals_are_one_planned_stop(self, tmp_path):
         world, kinds = self.play(tmp_path, "stop twice")
-        assert self.told(world) == [[signal.SIGTERM, signal.SIGTERM], []]
-        assert kinds == ["stop twice"] and world.evidence.troubles[0].is_planned
+        assert self.sent_signals(world) == [[signal.SIGTERM, signal.SIGTERM], []]
+        assert kinds == ["stop twice"] and world.evidence.faults[0].is_planned
         assert world.evidence.judge() == []
 
     @pytest.mark.parametrize("name", ADDRESS_NAMES)
-    def test_an_address_is_held_and_given_back(self, tmp_path, monkeypatch, name):
+    def test_an_address_is_occupied_and_released(self, tmp_path, monkeypatch, name):
         held = []
 
         def create_server(address):
@@ -347,11 +359,13 @@
         monkeypatch.setattr("soak.starts.socket.create_server", create_server)
         world, kinds = self.play(tmp_path, "address in use", Preferring(name))
         host = world.hosts_by_name["host-0"]
-        # The last one held is the host's; the others were those of its network.
+        # The last socket occupies the host's address; the network opened the others.
         assert held[-1] == host.addresses_by_name[name] and not host.held
         assert kinds == [f"address in use ({name})"]
 
-    def test_an_address_that_cant_be_held_leaves_a_kill(self, tmp_path, monkeypatch):
+    def test_an_address_that_cannot_be_occupied_is_recorded_as_a_kill(
+        self, tmp_path, monkeypatch
+    ):
         def refuse(address):
             raise OSError("in use")
 
@@ -367,12 +381,10 @@
             return world
 
         world = asyncio.run(main())
-        assert self.told(world) == [[signal.SIGKILL], []]
-        assert [trouble.kind for trouble in world.evidence.troubles] == [
-            "kill in a row"
-        ]
+        assert self.sent_signals(world) == [[signal.SIGKILL], []]
+        assert [fault.kind for fault in world.evidence.faults] == ["kill in a row"]
 
-    def test_a_stop_in_quiet_ends_with_the_host_back(self, tmp_path):
+    def test_the_host_recovers_after_a_stop_in_quiet(self, tmp_path):
         async def main() -> World:
             async with started_world(tmp_path) as world:
                 assert await world.wait_configured()
@@ -385,11 +397,11 @@
             return world
 
         world = asyncio.run(main())
-        assert self.told(world) == [[signal.SIGTERM, signal.SIGTERM], []]
+        assert self.sent_signals(world) == [[signal.SIGTERM, signal.SIGTERM], []]
         assert world.evidence.judge() == []
 
-    def test_a_holder_of_the_callers_address_is_not_taken_for_the_host(self, tmp_path):
-        async def main() -> Told:
+    def test_a_socket_at_the_callers_address_does_not_count_as_the_host(self, tmp_path):
+        async def main() -> SentSignal:
             async with started_world(tmp_path) as world:
                 host = world.hosts_by_name["host-0"]
                 host.life.kill()
@@ -400,78 +412,86 @@
                     host.life.send(signal.SIGTERM)
                     return host.life.told[-1]
 
-        assert not asyncio.run(main()).had_begun
+        assert not asyncio.run(main()).had_started
 
 
-def asked(*tries: Seen, is_served: bool = False) -> Asked:
-    return Asked(tries=tries, is_served=is_served)
+def request_outcome(*tries: TryOutcome, is_served: bool = False) -> RequestOutcome:
+    return RequestOutcome(tries=tries, is_served=is_served)
 
 
 class TestServed:
     @pytest.mark.parametrize(
         "tries",
         [
-            [seen(status=503)],
-            [seen(status=502), seen(status=0, is_whole=False)],
-            [seen(kind="stream", status=200, is_whole=False)],
+            [outcome(status=503)],
+            [outcome(status=502), outcome(status=0, is_complete=False)],
+            [outcome(kind="stream", status=200, is_complete=False)],
         ],
     )
-    def test_a_request_that_is_not_served_in_quiet_is_found(self, tries):
-        (found,) = Evidence(asked=[asked(*tries)]).judge()
+    def test_a_request_not_served_in_quiet_is_reported(self, tries):
+        (found,) = Evidence(requests=[request_outcome(*tries)]).judge()
         assert "q1 not served in quiet: host-0" in found
 
-    def test_a_request_that_was_served_in_the_end_is_well(self):
-        request = asked(seen(status=503), seen(), is_served=True)
-        assert Evidence(asked=[request]).judge() == []
+    def test_a_request_served_by_a_later_try_is_not_reported(self):
+        request = request_outcome(outcome(status=503), outcome(), is_served=True)
+        assert Evidence(requests=[request]).judge() == []
 
-    def test_a_caller_that_left_is_owed_nothing(self):
-        request = asked(seen(status=200, is_whole=False, left=True))
-        assert Evidence(asked=[request]).judge() == []
+    def test_a_request_whose_caller_left_is_not_reported(self):
+        request = request_outcome(
+            outcome(status=200, is_complete=False, caller_left=True)
+        )
+        assert Evidence(requests=[request]).judge() == []
 
     @pytest.mark.parametrize(
         ("began_at", "ended_at", "found"),
         [
-            (1.0, 10.0 - CALM_SECONDS - 0.1, 1),
-            (1.0, 10.0 - CALM_SECONDS + 0.1, 0),
+            (1.0, 10.0 - FAULT_EFFECT_SECONDS - 0.1, 1),
+            (1.0, 10.0 - FAULT_EFFECT_SECONDS + 0.1, 0),
             (11.9, 20.0, 0),
             (12.1, 20.0, 1),
         ],
     )
-    def test_a_fault_excuses_what_may_have_felt_it(self, began_at, ended_at, found):
-        request = asked(seen(status=503), seen(status=503, ended_at=12.0))
+    def test_a_fault_excuses_requests_that_it_may_affect(
+        self, began_at, ended_at, found
+    ):
+        request = request_outcome(
+            outcome(status=503), outcome(status=503, ended_at=12.0)
+        )
         fault = stop(target="store", began_at=began_at, ended_at=ended_at)
-        evidence = Evidence(asked=[request], troubles=[fault])
+        evidence = Evidence(requests=[request], faults=[fault])
         assert len(evidence.judge()) == found
 
 
 class TestAnswered:
-    def judge(self, *troubles: Trouble, **fields) -> list[str]:
+    def judge(self, *faults: FaultRecord, **fields) -> list[str]:
         life = attrs.evolve(
-            end(0, Told(number=signal.SIGTERM)), began_at=0.0, lasted=30.0
+            exit_record(0, SentSignal(number=signal.SIGTERM)), began_at=0.0, lasted=30.0
+        )
+        refused = outcome(
+            **({"kind": "call", "status": 0, "is_complete": False} | fields)
         )
-        refused = seen(**({"kind": "call", "status": 0, "is_whole": False} | fields))
-        return Evidence(tries=[refused], ends=[life], troubles=[*troubles]).judge()
+        return Evidence(tries=[refused], exits=[life], faults=[*faults]).judge()
 
-    def test_a_host_that_is_up_and_does_not_answer_is_found(self):
+    def test_a_host_that_is_up_and_does_not_answer_is_reported(self):
         assert "host-0 up, call q1 unanswered" in self.judge()[0]
 
-    def test_trouble_elsewhere_is_no_excuse(self):
+    def test_a_fault_of_another_host_is_no_excuse(self):
         assert self.judge(stop(target="host-1")) != []
 
-    def test_trouble_of_its_own_is_one(self):
+    def test_a_fault_of_the_host_is_an_excuse(self):
         assert self.judge(stop(kind="pause", is_planned=False)) == []
 
-    @pytest.mark.parametrize("sent_at", [CALM_SECONDS - 0.1, 30.1])
-    def test_a_host_that_is_not_up_for_long_owes_nothing(self, sent_at):
+    @pytest.mark.parametrize("sent_at", [FAULT_EFFECT_SECONDS - 0.1, 30.1])
+    def test_a_host_that_just_started_or_has_exited_is_not_reported(self, sent_at):
         assert self.judge(sent_at=sent_at) == []
 
-    def test_a_refusal_and_a_caller_that_left_are_answers(self):
+    def test_a_rejection_and_a_caller_that_left_count_as_answered(self):
         assert self.judge(status=503) == []
-        assert self.judge(left=True) == []
+        assert self.judge(caller_left=True) == []
 
 
 class TestCaller:
-    def test_it_asks_on_no_connection_that_the_host_has_closed(self):
+    def test_it_does_not_reuse_a_connection_that_the_host_has_closed(self):
         async def main() -> None:
             connections = []
 
@@ -491,10 +511,10 @@
                 evidence=evidence,
                 rng=random.Random(2),
                 events=EVENTS,
-                leaves=False,
+                disconnects=False,
             )
             for number in range(10):
-                assert await caller.ask()
+                assert await caller.send_request()
                 connections[-1].close()
                 await asyncio.sleep(0.01)
                 assert len(connections) == number + 1
@@ -504,8 +524,8 @@
         asyncio.run(main())
 
 
-class TestJoin:
-    def join(self, *numbers: int, position: int = 0, is_whole: bool = False):
+class TestJoinEvents:
+    def join(self, *numbers: int, position: int = 0, is_complete: bool = False):
         caller = Caller(
             kind="stream",
             addresses_by_host=dict,
@@ -514,18 +534,18 @@
             events=EVENTS,
         )
         body = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in numbers)
-        return caller._join(body, position, is_whole)
+        return caller._join_events(body, position, is_complete)
 
-    def test_events_join_on(self):
+    def test_events_continue_after_the_position(self):
         assert self.join(3, 4, 5, position=2) == (5, "")
-        assert self.join(*range(1, EVENTS + 1), is_whole=True) == (EVENTS, "")
+        assert self.join(*range(1, EVENTS + 1), is_complete=True) == (EVENTS, "")
 
     @pytest.mark.parametrize("numbers", [(1, 3), (1, 2, 2), (2,)])
-    def test_gaps_and_repeats_are_found(self, numbers):
+    def test_missing_and_repeated_events_are_reported(self, numbers):
         assert self.join(*numbers)[1]
 
-    def test_an_end_before_the_last_event_is_found(self):
-        assert "complete after 2" in self.join(1, 2, is_whole=True)[1]
+    def test_a_complete_answer_without_the_last_event_is_reported(self):
+        assert "complete after 2" in self.join(1, 2, is_complete=True)[1]
 
 
 class TestLink:
@@ -538,7 +558,7 @@
             (LinkFault.RESET, b""),
         ],
     )
-    def test_it_does_what_it_is_told(self, fault, expected):
+    def test_each_fault_has_its_effect(self, fault, expected):
         async def pong(reader, writer):
             await reader.read(4)
             writer.write(b"pong")
@@ -568,7 +588,7 @@
 
 
 class TestNetwork:
-    def test_runs_that_begin_at_one_number_get_networks_of_their_own(self):
+    def test_runs_that_try_the_same_network_first_get_different_ones(self):
         networks = [LoopbackNetwork(hosts=2, first=7) for _ in range(3)]
         try:
             assert len({network.ip(0) for network in networks}) == 3
@@ -576,7 +596,7 @@
             for network in networks:
                 network.release()
 
-    def test_a_network_with_an_address_in_use_is_passed_over(self):
+    def test_a_network_with_an_address_in_use_is_skipped(self):
         network = LoopbackNetwork(hosts=1, first=7)
         ip = network.ip(0)
         network.release()
@@ -586,11 +606,11 @@
                 assert other.ip(0) != ip
                 other.release()
 
-    def test_the_kernel_gives_these_ports_to_nobody(self):
+    def test_the_kernel_does_not_assign_these_ports(self):
         text = Path("/proc/sys/net/ipv4/ip_local_port_range").read_text()
         assert max(CLAIM_PORT, *HOST_PORTS) < int(text.split()[0])
 
-    def test_connections_to_a_host_take_no_address_of_the_network(self):
+    def test_connections_to_a_host_use_no_address_of_the_network(self):
         network = LoopbackNetwork(hosts=1)
         try:
             with socket.create_server((network.ip(0), HOST_PORTS[0])) as server:
@@ -619,7 +639,7 @@
         if seed in SEEDS_WITHOUT_STARTS:
             command.append("--no-starts")
         if seed not in (SETTINGS_SEED, REQUESTS_SEED, *SEEDS_WITH_WORDS):
-            # From when settings did not change meanwhile: played as they were.
+            # Older seeds run as they did before the soak changed settings.
             command.append("--no-settings")
         if seed not in (REQUESTS_SEED, *SEEDS_WITH_WORDS):
             command.append("--no-requests")
