--- a/passtally/__init__.py
+++ b/passtally/__init__.py
@@ -1,10 +1,10 @@
-"""Passtally serves long generations on engines that die in the middle of an answer."""
+"""Serves long generations on model engines that may crash in mid-answer."""
 
 import os
 
-# libuv reads these when the first loop is made, so they are set before any import
-# can make one: the hosts forbid io_uring, and name look-ups, the only work for its
-# thread pool, do not happen on IP numbers.
+# libuv reads these when the first event loop is created, so they are set before any
+# import can create one. The hosts forbid io_uring. One thread is enough for the thread
+# pool: its only work would be name look-ups, which IP addresses do not need.
 os.environ["UV_USE_IO_URING"] = "0"
 os.environ["UV_THREADPOOL_SIZE"] = "1"
 
--- a/passtally/connection_pool.py
+++ b/passtally/connection_pool.py
@@ -1,8 +1,8 @@
-"""The connections to other processes, kept for further requests.
+"""A pool of idle connections to other processes, for reuse.
 
-Open connections may fall silent for good, many at once, while new ones work. Neither
-side hears of it: a kept connection is found silent only by a request that gets no
-answer. Then others that may be silent too are used no more.
+Many open connections may stop carrying data at the same time, for good, while new
+connections work. Neither side receives an error: only a request that gets no answer
+reveals such a connection. Idle connections that may be affected too are then closed.
 """
 
 import asyncio
@@ -25,27 +25,27 @@
 from passtally.pause_aware_timeout import PauseAwareTimeout
 from passtally.settings import Address, parse_address
 
-#: How long a connection may take to come up. Endpoints are a millisecond away; a
-#: full accept queue costs seconds, in which another endpoint answers.
+#: Time limit for establishing a connection. Endpoints are a millisecond away. A full
+#: accept queue delays a connection by seconds, while another endpoint could answer.
 CONNECT_TIMEOUT = timedelta(milliseconds=150)
-#: How long the next part of an answer that is fetched whole may take. A store's largest
-#: value, 1 MB, takes 0.8 s of a link of 10 Mbit/s that has nothing else to carry: it is
-#: not given up while it comes.
+#: Time limit for each further part of a buffered answer. The store's largest value,
+#: 1 MB, takes 0.8 s on an otherwise idle link of 10 Mbit/s. It is not aborted while
+#: data arrives.
 PART_TIMEOUT = timedelta(seconds=1)
-#: The longest answer that is fetched whole, in bytes; a store's pages have 1 MB.
+#: Maximum size of a buffered answer, in bytes. A page of the store has 1 MB.
 MAX_FETCHED = 16 << 20
 
 
 @attrs.frozen(kw_only=True)
 class BufferedAnswer:
-    """An answer that was read to its end."""
+    """A complete answer, read into memory."""
 
     head: ResponseHead
     body: bytes
 
 
 class ConnectionPool:
-    """The idle connections to each address.
+    """A pool of idle connections by address.
 
     Args:
         clock: The clock.
@@ -54,19 +54,21 @@
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._idle_by_address: dict[Address, list[ClientConnection]] = {}
+        #: Number of connections opened or tried since the start.
         self.opened = 0
 
     async def take(
         self, address: Address, *, must_be_new: bool = False
     ) -> ClientConnection:
-        """Return an idle connection, or a new one.
+        """Return an idle connection, or open a new one.
 
         Args:
-            address: The peer.
-            must_be_new: Whether the idle ones may be silent; they are closed.
+            address: The peer's address.
+            must_be_new: Whether to close the idle connections, which may be silent,
+                and open a new one.
 
         Raises:
-            ExchangeError: None came up.
+            ExchangeError: No connection could be established in time.
         """
         if must_be_new:
             self.invalidate(address)
@@ -81,10 +83,10 @@
     async def open(
         self, address: Address, *, timeout: timedelta = CONNECT_TIMEOUT
     ) -> ClientConnection:
-        """Return a new connection.
+        """Open a new connection.
 
         Raises:
-            ExchangeError: None came up in time.
+            ExchangeError: The connection could not be established in time.
         """
         self.opened += 1
         connecting = asyncio.ensure_future(self._connect(address))
@@ -93,7 +95,7 @@
                 return await connecting
         except BaseException as error:
             connecting.cancel()
-            # It may come up in the very pass of the loop that gives it up.
+            # It may be established in the same loop iteration that cancels it.
             connecting.add_done_callback(_abort)
             if not isinstance(error, OSError | TimeoutError):
                 raise
@@ -119,23 +121,24 @@
         part_timeout: timedelta | None = None,
         on_head: Callable[[ResponseHead], None] = lambda head: None,
     ) -> "BufferedAnswer":
-        """Send a request and read its whole answer.
+        """Send a request and read its complete answer.
 
         Args:
-            address: The peer.
+            address: The peer's address.
             method: The method.
             target: The path and query, byte for byte.
-            headers: The headers; the body's length is added.
+            headers: The headers; Content-Length is added.
             body: The body.
-            most: The longest answer that is taken, in bytes.
-            timeout: The time limit for all of it.
-            part_timeout: How long each further part may take once the answer has
-                begun, beyond that limit; None for no longer.
-            on_head: Called with the answer's head, also where the rest is lost.
+            most: The maximum size of the answer's body, in bytes.
+            timeout: The time limit for the whole exchange.
+            part_timeout: The time limit for each further part of an answer that has
+                begun, which may extend the exchange beyond ``timeout``; None for no
+                extension.
+            on_head: Called with the answer's head, even if the body is then lost.
 
         Raises:
-            ExchangeError: No whole answer came.
-            TimeoutError: None came in time.
+            ExchangeError: The connection failed or the answer is incomplete.
+            TimeoutError: The exchange exceeded its time limit.
         """
         try:
             async with PauseAwareTimeout(timeout, clock=self._clock) as limit:
@@ -158,25 +161,26 @@
     def release(
         self, address: Address, connection: ClientConnection, head: ResponseHead
     ) -> None:
-        """Keep a connection whose answer was read whole, if it may be used again."""
+        """Return a connection to the pool after a complete answer, if reusable."""
         if connection.rest(head.header(b"keep-alive")):
             self._drop_unusable()
             self._idle_by_address.setdefault(address, []).append(connection)
 
     def invalidate(self, address: Address) -> None:
-        """Close the idle connections to a peer that did not answer on one."""
+        """Close the idle connections to a peer, which may all be silent."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.abort()
 
     def invalidate_older(self, since: timedelta) -> None:
-        """Close the idle connections to all peers that were last used before a moment.
+        """Close the connections to all peers that became idle before a given time.
 
         Args:
-            since: Since when one is silent though its peer answers on new ones.
+            since: The time since which a connection has been silent although its peer
+                answers on new ones, on the monotonic clock.
         """
         for idle in self._idle_by_address.values():
             for connection in idle:
-                if connection.rested_at < since:
+                if connection.idle_since < since:
                     connection.abort()
 
     def close(self) -> None:
@@ -187,7 +191,7 @@
         self._idle_by_address.clear()
 
     def _drop_unusable(self) -> None:
-        """Close idle connections that are too old, so that they don't pile up."""
+        """Close idle connections past their idle time, so that they don't pile up."""
         for address, idle in list(self._idle_by_address.items()):
             usable = [connection for connection in idle if connection.is_usable]
             for connection in idle:
@@ -200,10 +204,10 @@
 
 
 class PoolFetcher:
-    """See :class:`passtally.fetch.Fetcher`.
+    """A :class:`passtally.fetch.Fetcher` on pooled connections.
 
     Args:
-        pool: The connections.
+        pool: The connection pool.
     """
 
     def __init__(self, *, pool: ConnectionPool) -> None:
@@ -219,7 +223,11 @@
         headers: Mapping[str, str] | None = None,
         data: bytes = b"",
     ) -> Fetched:
-        """Make one call."""
+        """Send a request and return its complete answer.
+
+        Raises:
+            FetchError: No complete answer arrived in time.
+        """
         parts = urlsplit(url)
         address = parse_address(parts.netloc)
         target = f"{parts.path}?{urlencode(params)}" if params else parts.path
@@ -243,6 +251,6 @@
 
 
 def _abort(connecting: asyncio.Future[ClientConnection]) -> None:
-    """Close a connection that nobody waits for any more, if it came up."""
+    """Close a connection that was established after its opening was cancelled."""
     if not connecting.cancelled() and connecting.exception() is None:
         connecting.result().abort()
--- a/passtally/daemon.py
+++ b/passtally/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon on an entry host: one process, one loop, one thread."""
+"""The daemon on an entry host: one process with one event loop in one thread."""
 
 import asyncio
 import random
@@ -62,10 +62,10 @@
 
 
 class EntryHost(aiomisc.Service):
-    """Everything that runs on one entry host, started and stopped as one.
+    """All services of one entry host, started and stopped together.
 
     Args:
-        settings: What it was told.
+        settings: The settings in force.
         clock: The clock.
     """
 
@@ -80,7 +80,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
-        """Open the sessions, the tasks and the listening socket."""
+        """Open the client sessions, start the tasks and open the listening sockets."""
         self._open_clients()
         self._build_links()
         self._build_serving()
@@ -108,7 +108,7 @@
         log_event("daemon", "Started.", listen=self.settings.listen)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Close what start opened; requests were waited for before."""
+        """Close the sockets, tasks and sessions; :meth:`leave` has drained requests."""
         await self._listeners.stop()
         await self._site_runner.cleanup()
         for task in self._tasks:
@@ -120,7 +120,7 @@
         log_event("daemon", "Stopped.")
 
     async def leave(self) -> None:
-        """Leave the balancer and wait for the last request, however long."""
+        """Become unready and wait for the open requests, without a time limit."""
         self.gossip.leaving = True
         await self.drain.stop(balancer_lag=self.settings.balancer_lag)
 
@@ -135,7 +135,7 @@
         self._plain_session = open_session()
 
     def _build_links(self) -> None:
-        """Build what leads to the platform, the peers and the endpoints."""
+        """Build the clients of the platform, the peers and the endpoints."""
         settings = self.settings
         self.platform = HttpPlatform(
             session=self._engine_session, url=settings.platform
@@ -184,7 +184,7 @@
         )
 
     def _build_serving(self) -> None:
-        """Build what carries requests."""
+        """Build the components that serve requests."""
         settings = self.settings
         budgets = RetryBudgets()
         self.gate = Gate(fleet=self.fleet, clock=self.clock)
@@ -271,7 +271,7 @@
         self.completions.jobs = self.jobs
 
     def _build_control(self) -> None:
-        """Build what operators use."""
+        """Build the operators' API and its components."""
         settings = self.settings
         store = self.store
         self.executor = Executor(
@@ -330,7 +330,7 @@
         try:
             await site.start()
         except OSError:
-            # Unknown to its runner again, so that another one may be tried.
+            # Unregisters the site from its runner, so that a retry can add a new one.
             await site.stop()
             raise
 
@@ -376,11 +376,11 @@
 
 
 def run_daemon(settings: Settings, signals: StopSignals) -> None:
-    """Run an entry host until it is told to stop and its last request is done.
+    """Run an entry host until a stop signal and the end of its last request.
 
     Args:
-        settings: What it is told.
-        signals: Notes a stop that comes before the loop takes them.
+        settings: The settings.
+        signals: Records a stop signal that arrives before the event loop runs.
     """
     limit_arenas()
     with ExitStack() as stack:
--- a/passtally/descriptors.py
+++ b/passtally/descriptors.py
@@ -1,29 +1,29 @@
-"""Whether this process may open some more file descriptors."""
+"""A check for free file descriptors."""
 
 import errno
 import os
 
 
 def check_free(count: int) -> None:
-    """Find out whether some descriptors are free, without keeping any.
+    """Check that a number of descriptors can be opened, and close them again.
 
     Args:
-        count: How many are needed.
+        count: The number of descriptors needed.
 
     Raises:
-        OSError: There are fewer; EMFILE, as where one can't be opened.
+        OSError: Fewer are free; its errno is EMFILE, as for a failed open.
     """
-    taken: list[int] = []
+    opened: list[int] = []
     try:
         for _ in range(count):
-            taken.append(_take())
+            opened.append(_open_null())
     except OSError as error:
-        problem = f"{len(taken)} descriptors are free, {count} are needed"
+        problem = f"{len(opened)} descriptors are free, {count} are needed"
         raise OSError(errno.EMFILE, problem) from error
     finally:
-        for descriptor in taken:
+        for descriptor in opened:
             os.close(descriptor)
 
 
-def _take() -> int:
+def _open_null() -> int:
     return os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
--- a/passtally/front_host.py
+++ b/passtally/front_host.py
@@ -1,4 +1,4 @@
-"""An entry host that serves by routes, behind an adapter to its surroundings."""
+"""An entry host that serves configured routes, with an adapter to its platform."""
 
 import asyncio
 import random
@@ -62,33 +62,39 @@
 from passtally.versions import AnyVersion
 from passtally.view import View
 
-#: The part of the time in which a change must be in force for which one watch waits.
-#: A store that compacts its history lets watches hear nothing, and does not always
-#: cut them, so a quiet watch is renewed in time to list and apply what it missed.
+#: Share of the setting ``apply_within``, the time limit for applying a change, that one
+#: watch waits for a change. A store that compacts its history stops sending changes to
+#: open watches and does not always close them. A quiet watch is therefore renewed early
+#: enough to list and apply the missed changes in time.
 WATCH_WAIT_PART = 0.6
-#: The part of that time for which changes are gathered before the next watch asks for
-#: them. Endpoints come and go by the dozen, each on its own, and each watch that they
-#: wake is paid for: of 2,035 to 3,418 calls a day of 74 hosts some 500 were listings.
+#: Share of ``apply_within`` for which changes are batched before the next watch.
+#: Endpoints start and stop by the dozen, each as a change of its own that ends a watch,
+#: and each watch is a billed call: of 2,035 to 3,418 calls a day of 74 hosts, some 500
+#: were listings.
 GATHER_PART = 0.125
-#: How long a watch waits for what changes a few times a day. Each call is paid for: by
-#: the shorter wait, and a listing at each start, orders of new versions would take a
-#: quarter of the calls of 90 hosts in a quiet minute (256 beside 789).
+#: Time that a watch waits for objects that change a few times a day. Each call is
+#: billed: with the shorter wait, and a listing at each start, the orders of new
+#: versions would take a quarter of the calls of 90 hosts in a quiet minute (256 beside
+#: 789).
 LONG_WATCH = timedelta(seconds=10)
-#: The longest pause between two tries to reach the store. The users count a store as
-#: back three seconds after its return; a change must be in force two seconds later.
+#: Maximum delay between two attempts to reach the store. The store counts as recovered
+#: three seconds after its return, and a change must be in force two seconds later.
 MAX_RETRY_DELAY = timedelta(milliseconds=800)
-#: A host that had no news for this long lists rather than asks for all states since.
-#: 19 hosts on links of 5 Mbit/s that return after 5.5 s, beside a change of 110 KB each
-#: 200 ms, have the newest state within 0.4 s, and otherwise within 6.1 s.
+#: Time without updates after which a host lists all objects instead of requesting all
+#: states since. 19 hosts on links of 5 Mbit/s that reconnect after 5.5 s, while 110 KB
+#: change every 200 ms, have the newest state within 0.4 s, without a listing within
+#: 6.1 s.
 OUT_OF_DATE_AFTER = timedelta(seconds=1)
 RELIST_PAUSE = timedelta(milliseconds=200)
-#: Left of a stop's grace for breaking off streams and closing connections.
+#: Part of the grace period that is reserved for aborting streams and closing
+#: connections.
 STOP_MARGIN = timedelta(milliseconds=600)
-#: A host counts on at least this many that share a budget: it may have just started,
-#: or be cut off from most.
+#: Minimum number of hosts that a retry budget is divided by. A host that has just
+#: started, or is cut off from most others, knows fewer hosts than share the budget.
 MIN_BUDGET_HOSTS = 8
-#: By then a host knows nearly all others, also where all 195 start at once. One that
-#: is told of no others has its budget for itself.
+#: Warm-up time of the retry budget. By its end a host knows nearly all others, even if
+#: all 195 start at once. A host without seeds has no warm-up, since it shares its
+#: budget with no other host.
 BUDGET_WARM_UP = timedelta(seconds=3)
 SILENCE_BOUNDS_BY_PHASE = {
     Phase.FIRST_TOKEN: SilenceBounds(
@@ -97,7 +103,7 @@
         ceiling=timedelta(seconds=1.2),
         stuck_after=timedelta(seconds=3),
     ),
-    # Callers notice a pause of 700 ms; going on takes up to 60 ms.
+    # Callers notice a pause of 700 ms; a failover takes up to 60 ms.
     Phase.NEXT_TOKEN: SilenceBounds(
         initial=timedelta(milliseconds=250),
         floor=timedelta(milliseconds=200),
@@ -108,13 +114,13 @@
 
 
 class FrontHost(aiomisc.Service):
-    """Everything that runs on one entry host.
+    """All services of one entry host.
 
     Args:
-        settings: What it was told.
+        settings: The settings in force.
         clock: The clock.
-        adapter: Translates for it.
-        front_socket: Listens already where callers come in; None to open one.
+        adapter: Translates between the host and its platform.
+        front_socket: A socket that already listens for callers; None to open one.
     """
 
     def __init__(
@@ -134,8 +140,8 @@
         self.drain = Drain(max_open=settings.max_streams)
         self.catalog = ServiceIndex()
         self.routes = ActiveRoutes()
-        #: Endpoints that ended for good, which hosts tell each other: a replica there
-        #: is lost, also while the platform can't say so.
+        #: Endpoints that exited for good, so that their replicas are lost. Hosts learn
+        #: this from each other even if the platform is unreachable.
         self.departures = Departures()
         self.pool = ConnectionPool(clock=clock)
         #: Set once the routes and some endpoints are known.
@@ -145,7 +151,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
-        """Open the connections, the tasks and the listening sockets."""
+        """Start the background tasks and open the listening sockets."""
         self._build_knowledge()
         self._build_serving()
         self._build_servers()
@@ -168,7 +174,7 @@
         log_event("daemon", "Started.", listen=self.settings.listen)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Close what start opened."""
+        """Close the listening sockets, tasks and connections."""
         self.drain.is_over = True
         await self.listeners.stop()
         await self.servers.stop()
@@ -181,10 +187,10 @@
         log_event("daemon", "Stopped.")
 
     async def leave(self, *, waited: timedelta = timedelta(0)) -> None:
-        """Leave the balancer and finish what is open within the grace.
+        """Become unready and finish the open requests within the grace period.
 
         Args:
-            waited: How long ago the host was told to stop.
+            waited: The time since the stop was requested.
         """
         self.front_server.is_closing = True
         limit = self.settings.grace - STOP_MARGIN - waited
@@ -197,32 +203,34 @@
                     ends_at=self.clock.monotonic() + limit,
                 )
         except TimeoutError:
-            log_event("daemon", "Out of grace.", open=self.drain.open_requests)
+            log_event(
+                "daemon", "The grace period is over.", open=self.drain.open_requests
+            )
         finally:
-            # Some requests may yet come in before the sockets are closed.
+            # Requests may still arrive before the sockets are closed.
             self.drain.is_over = True
 
     async def _close_idle_later(self) -> None:
-        """Close idle connections once the balancer sends no new ones."""
+        """Close idle connections once the balancer opens no new ones here."""
         await self.clock.sleep(self.settings.balancer_lag)
         self.front_server.close_idle()
 
     def reload(self, settings: Settings) -> None:
-        """Take over what has changed; a host that stops changes nothing any more."""
+        """Apply the changed settings, unless the host is stopping."""
         if self.drain.is_stopping:
-            log_event("daemon", "Kept the old settings, the host stops.")
+            log_event("daemon", "Kept the old settings, since the host is stopping.")
             return
-        self.reloading.take(settings)
+        self.reloading.apply(settings)
 
     def _record_open(self, name: str, address: Address) -> None:
-        """Tell the other hosts where they reach this one, once they do."""
+        """Publish this host's address to the other hosts once it is open."""
         table = self.gossip.table
         if name == PEERS and table.own.address != str(address):
             table.change_own(now=self.clock.monotonic(), address=str(address))
 
     @property
     def is_ready(self) -> bool:
-        """Whether this host can serve and is to get new connections."""
+        """Whether the balancer may send new connections to this host."""
         return (
             self.routes.current is not None
             and self.listeners.is_open(CALLERS)
@@ -231,7 +239,7 @@
         )
 
     def _build_knowledge(self) -> None:
-        """Build what knows the configuration and the endpoints."""
+        """Build the components that follow the configuration and the endpoints."""
         fetcher = PoolFetcher(pool=self.pool)
         self.store = self._adapter.open_store(fetcher, self.settings.platform)
         links = HostLinks(
@@ -247,7 +255,7 @@
             versions=self.rollouts,
             departures=self.departures,
             others_load=self.load_table.load,
-            on_successor=self._meet_successor,
+            on_successor=self._use_successor,
             on_silent=self.pool.invalidate_older,
             catalog=self.catalog,
             clock=self.clock,
@@ -259,7 +267,7 @@
             catalog=self.catalog,
             clock=self.clock,
             gone=self.fleet.forget,
-            came=self._meet_start,
+            came=self._handle_start,
         )
         object_applier = ObjectApplier(
             adapter=self._adapter,
@@ -268,7 +276,7 @@
             registry=self.registry,
             rollouts=self.rollouts,
             learned=self._learned,
-            routes_changed=self._tell_routes,
+            routes_changed=self._publish_config_version,
         )
         self._object_applier = object_applier
         views = [
@@ -301,13 +309,13 @@
         )
 
     def _follow_rollouts(self) -> None:
-        """Look at the roll-outs under way, if any are followed."""
+        """Start the task for the roll-outs under way, if they are followed."""
         if self.rollouts is not None:
             work = keep_running("roll-outs", self.rollouts.run, clock=self.clock)
             self._rollouts_task = self.spawn(work)
 
-    def add_rollouts(self) -> None:
-        """Follow orders of new versions from now on."""
+    def enable_rollouts(self) -> None:
+        """Start following the orders of new versions."""
         self.rollouts = self._object_applier.rollouts = self._build_rollouts()
         self.rollouts.use(self.fleet)
         for endpoint in self.catalog.endpoints_by_id.values():
@@ -316,8 +324,8 @@
         self.watch.add(self._make_rollouts_view())
         self._follow_rollouts()
 
-    def leave_rollouts(self) -> None:
-        """Follow no orders of new versions any more."""
+    def disable_rollouts(self) -> None:
+        """Stop following the orders of new versions."""
         if self.rollouts is None:
             return
         self._rollouts_task.cancel()
@@ -327,7 +335,7 @@
         self.rollouts = None
 
     def _build_rollouts(self) -> Rollouts | None:
-        """Build what tries new versions, where that is asked for."""
+        """Build the trials of new versions; None if the settings disable them."""
         settings = self.settings
         if not settings.trial_share:
             return None
@@ -348,11 +356,11 @@
             metrics=self.metrics,
         )
 
-    def _tell_routes(self, version: int) -> None:
+    def _publish_config_version(self, version: int) -> None:
         self.gossip.config_version = version
 
     def _knows_orders(self) -> bool:
-        """Return whether all orders of new versions are known that others know."""
+        """Return whether this host knows all orders that other hosts know."""
         orders = self._adapter.rollouts_prefix
         return self.watch.is_receiving and not self.watch.is_behind(orders)
 
@@ -372,17 +380,17 @@
         )
 
     def watch_wait(self, view: View) -> timedelta:
-        """Return how long one watch of a view waits for a change."""
+        """Return the time that one watch of a view waits for a change."""
         if not view.is_vital:
             return LONG_WATCH
         return WATCH_WAIT_PART * self.settings.apply_within
 
     def gather_pause(self) -> timedelta:
-        """Return how long changes are gathered before the next watch."""
+        """Return the time for which changes are batched before the next watch."""
         return GATHER_PART * self.settings.apply_within
 
     def _build_serving(self) -> None:
-        """Build what carries requests."""
+        """Build the components that serve requests."""
         settings = self.settings
         loans = self.loans
         self.budgets = budgets = ServiceBudgets(
@@ -481,11 +489,11 @@
         )
 
     def _record_isolation(self, is_isolated: bool) -> None:
-        """Send callers on kept connections away too, or keep them again."""
+        """Make callers on open connections reconnect while isolated or stopping."""
         self.front_server.is_closing = is_isolated or self.drain.is_stopping
 
     def _build_servers(self) -> None:
-        """Build what listens; callers are answered once it is opened."""
+        """Build the servers, which :meth:`start` opens."""
         self.servers = HostServers(
             listeners=self.listeners,
             peers=self.peers,
@@ -512,11 +520,11 @@
             find_address=self._find_address,
         )
 
-    def _meet_successor(self, ended: Endpoint, successor_id: str) -> None:
-        """Use the endpoint that has the address of one that ended.
+    def _use_successor(self, ended: Endpoint, successor_id: str) -> None:
+        """Use a new endpoint at the address of one that exited.
 
-        The platform tells of it too, but may be out of reach. The service is
-        known only where a single one has engines.
+        The platform reports the new endpoint too, but may be unreachable. The service
+        of the new endpoint is certain only if a single service has engines.
         """
         routes = self.routes.current
         engines = [info.id for info in routes.services if info.capacity_tokens]
@@ -527,14 +535,17 @@
                 state=EndpointState.ACTIVE,
                 incarnation=UNTOLD_START,
             )
-            self.spawn(self._adopt(successor))
+            self.spawn(self._put_if_engine(successor))
 
-    async def _adopt(self, successor: Endpoint) -> None:
+    async def _put_if_engine(self, successor: Endpoint) -> None:
         if await self._adapter.is_engine(self._connect(successor)):
             self.registry.put(successor)
 
-    def _meet_start(self, endpoint: Endpoint) -> None:
-        """Use no connection of the start before: a call sent on one is lost there."""
+    def _handle_start(self, endpoint: Endpoint) -> None:
+        """Record an endpoint's new start and close connections to its previous start.
+
+        A call that is sent on such a connection is lost.
+        """
         self.fleet.record_start(endpoint)
         if self.rollouts is not None:
             self.rollouts.meet(endpoint)
@@ -547,7 +558,7 @@
         return _address_of(endpoint)
 
     def render_metrics(self) -> bytes:
-        """Return the metrics as text; gauges as they stand now."""
+        """Return the metrics as text, with the current values of the gauges."""
         current = self.routes.current
         self.metrics.gauge(Metric.OPEN, self.drain.open_requests)
         self.metrics.gauge(Metric.CONFIG_VERSION, current.version if current else 0)
@@ -561,7 +572,7 @@
         return self.metrics.render()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a task until this host stops."""
+        """Start a task that is cancelled when this host stops."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/passtally/host_reload.py
+++ b/passtally/host_reload.py
@@ -1,8 +1,8 @@
-"""Lets a running host take settings that it is told anew.
+"""Applies changed settings to a running host.
 
-What was made of a setting at the start would else stay as it was: each setting that a
-host uses has something here that takes it. What is open goes on: requests, connections,
-what endpoints were found to be, what is spent of the budgets.
+The parts of a host copy setting values when they are built, so each setting that may
+change has a function here that updates them. Open requests and connections, the
+recorded states of endpoints and the spent budgets are kept.
 """
 
 import asyncio
@@ -36,32 +36,32 @@
 from passtally.shared_watch import SharedWatch
 from passtally.view import View
 
-#: How long a host that is told another key for messages between hosts signs with the
-#: one before as well. The hosts of a fleet are told within seconds of each other, and
-#: each looks at its settings every five.
+#: Time for which a host also signs messages between hosts with the previous key after
+#: a change. The hosts of a fleet are given a new key within seconds of each other, and
+#: each polls its settings every five seconds.
 KEY_OVERLAP = timedelta(minutes=1)
-#: The most keys of before that sign: settings may go to and fro.
+#: Maximum number of previous keys that still sign; a setting may change repeatedly.
 MAX_FORMER_KEYS = 2
 
 
 class ReloadableHost(Protocol):
-    """A host whose parts take settings while it serves.
+    """A host whose settings can change while it serves.
 
     Attributes:
-        settings: What it was told last.
+        settings: The settings in force.
         clock: The clock.
-        servers: What listens at its addresses.
+        servers: The servers at its addresses.
         peers: The links to other hosts.
-        gossip: Tells other hosts of it.
-        roster: Knows the other hosts.
-        load_exchange: Tells other hosts its load.
+        gossip: The gossip with other hosts.
+        roster: The known other hosts.
+        load_exchange: The exchange of load reports with other hosts.
         store: The client of the store.
-        watch: Follows the store's objects.
+        watch: The watch of the store's objects.
         routes: The routes in force.
-        placement: Chooses endpoints for generations.
-        caller: Passes calls on.
-        budgets: How many repeats are left.
-        rollouts: The orders of new versions; None where they are not followed.
+        placement: The choice of endpoints for generations.
+        caller: The forwarding of plain calls.
+        budgets: The retry budgets.
+        rollouts: The orders of new versions; None if they are not followed.
     """
 
     settings: Settings
@@ -79,24 +79,24 @@
     budgets: ServiceBudgets
     rollouts: Rollouts | None
 
-    def add_rollouts(self) -> None:
-        """Follow orders of new versions from now on."""
+    def enable_rollouts(self) -> None:
+        """Start following the orders of new versions."""
 
-    def leave_rollouts(self) -> None:
-        """Follow no orders of new versions any more."""
+    def disable_rollouts(self) -> None:
+        """Stop following the orders of new versions."""
 
     def watch_wait(self, view: View) -> timedelta:
-        """Return how long one watch of a view waits for a change."""
+        """Return the time that one watch of a view waits for a change."""
 
     def gather_pause(self) -> timedelta:
-        """Return how long changes are gathered before the next watch."""
+        """Return the time for which changes are batched before the next watch."""
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a task until the host stops."""
+        """Start a task that is cancelled when the host stops."""
 
 
 class HostReload:
-    """Hands each setting that changes to the part of a host that uses it.
+    """Applies each changed setting to the part of a host that uses it.
 
     Args:
         host: The host.
@@ -104,20 +104,24 @@
 
     def __init__(self, *, host: ReloadableHost) -> None:
         self._host = host
-        #: Until when keys of before sign, on the monotonic clock.
+        #: When each previous key stops signing, on the monotonic clock.
         self._until_by_former_key: dict[bytes, timedelta] = {}
 
-    def take(self, told: Settings) -> None:
-        """Put what has changed in force."""
+    def apply(self, new: Settings) -> None:
+        """Apply the changed settings.
+
+        Args:
+            new: The new settings.
+        """
         host = self._host
         appliers_by_name = self.appliers_by_name
         before = host.settings
-        changes = find_changes(before, told)
-        host.settings = keep_unappliable(before, told, takeable=appliers_by_name)
+        changes = find_changes(before, new)
+        host.settings = keep_unappliable(before, new, applicable=appliers_by_name)
         if before.resume_keys != host.settings.resume_keys:
             self._record_former_key(before)
         failed = apply_changes(changes, appliers_by_name=appliers_by_name)
-        # Not in force: so they are told again, and tried again, at the next look.
+        # Failed changes keep the old value, so the next reload retries them.
         kept = {change.name: change.was for change in failed}
         host.settings = attrs.evolve(host.settings, **kept)
         names = [change.name for change in changes]
@@ -125,78 +129,79 @@
 
     @property
     def appliers_by_name(self) -> Mapping[str, Apply]:
-        """What takes each setting that a host uses and may be told anew."""
+        """Functions that apply each changeable setting, by the setting's name."""
         return {
-            "host_id": self._take_name,
+            "host_id": self._apply_host_id,
             "region": self._use_when_needed,
-            "failure_domain": self._take_domain,
-            "listen": self._take_listen,
-            "ready_listen": self._take_ready_listen,
-            "metrics_listen": self._take_metrics_listen,
-            "peer_listen": self._take_peer_listen,
-            "seeds": self._take_seeds,
-            "platform": self._take_platform,
-            "resume_keys": self._take_keys,
+            "failure_domain": self._apply_domain,
+            "listen": self._apply_listen,
+            "ready_listen": self._apply_ready_listen,
+            "metrics_listen": self._apply_metrics_listen,
+            "peer_listen": self._apply_peer_listen,
+            "seeds": self._apply_seeds,
+            "platform": self._apply_platform,
+            "resume_keys": self._apply_keys,
             "grace": self._use_when_needed,
             "balancer_lag": self._use_when_needed,
-            "retry_share": self._take_budgets,
+            "retry_share": self._apply_budgets,
             "retry_extra": self._use_when_needed,
-            "retry_window": self._take_budgets,
-            "trial_share": self._take_trials,
-            "trial_extra": self._take_trials,
-            "apply_within": self._take_apply_within,
+            "retry_window": self._apply_budgets,
+            "trial_share": self._apply_trials,
+            "trial_extra": self._apply_trials,
+            "apply_within": self._apply_watch_times,
         }
 
     def _use_when_needed(self) -> None:
-        """Do nothing: such a setting is looked up whenever it is needed."""
+        """Do nothing, since the setting is read from the host at each use."""
 
-    def _take_name(self) -> None:
+    def _apply_host_id(self) -> None:
         host = self._host
         host_id = host.settings.host_id
         host.gossip.table.change_own(now=host.clock.monotonic(), host_id=host_id)
         host.peers.host_id = host.load_exchange.host_id = host_id
         host.watch.rename(host_id)
         if host.rollouts is not None:
-            # As after a start: what was counted stays told of the old name.
-            host.leave_rollouts()
-            host.add_rollouts()
+            # Starts over, as after a restart: other hosts keep the reported counts
+            # under the old name.
+            host.disable_rollouts()
+            host.enable_rollouts()
 
-    def _take_domain(self) -> None:
+    def _apply_domain(self) -> None:
         host = self._host
         domain = host.settings.failure_domain
         host.gossip.table.change_own(now=host.clock.monotonic(), failure_domain=domain)
         host.placement.move(domain)
         host.caller.failure_domain = domain
 
-    def _take_listen(self) -> None:
+    def _apply_listen(self) -> None:
         self._host.servers.move(CALLERS, self._host.settings.listen)
 
-    def _take_ready_listen(self) -> None:
+    def _apply_ready_listen(self) -> None:
         self._host.servers.move(READINESS, self._host.settings.ready_listen)
 
-    def _take_metrics_listen(self) -> None:
+    def _apply_metrics_listen(self) -> None:
         self._host.servers.move(METRICS, self._host.settings.metrics_listen)
 
-    def _take_peer_listen(self) -> None:
+    def _apply_peer_listen(self) -> None:
         self._host.servers.move(PEERS, self._host.settings.peer_listen)
 
-    def _take_seeds(self) -> None:
+    def _apply_seeds(self) -> None:
         self._host.roster.use_seeds(self._host.settings.seeds)
 
-    def _take_platform(self) -> None:
+    def _apply_platform(self) -> None:
         host = self._host
         host.store.move(host.settings.platform)
         host.routes.renew()
         host.watch.relist()
 
     def _record_former_key(self, before: Settings) -> None:
-        """Let the key that signed sign on for a while, until all hosts were told."""
+        """Keep signing with the previous key until all hosts have the new one."""
         key = next(iter(before.resume_keys.values()))
         until = self._host.clock.monotonic() + KEY_OVERLAP
         self._until_by_former_key.pop(key, None)
         self._until_by_former_key[key] = until
 
-    def _take_keys(self) -> None:
+    def _apply_keys(self) -> None:
         self._use_keys()
         self._host.spawn(self._drop_former_keys())
 
@@ -214,23 +219,23 @@
                 del self._until_by_former_key[key]
         self._use_keys()
 
-    def _take_budgets(self) -> None:
-        """Hold what was spent and earned already against the other figures."""
+    def _apply_budgets(self) -> None:
+        """Change the share and the window; keep what was spent and earned."""
         budgets, settings = self._host.budgets, self._host.settings
         budgets.share = settings.retry_share
         budgets.window = settings.retry_window
 
-    def _take_trials(self) -> None:
+    def _apply_trials(self) -> None:
         host = self._host
         share, slack = host.settings.trial_share, host.settings.trial_extra
         if not share:
-            host.leave_rollouts()
+            host.disable_rollouts()
         elif host.rollouts is None:
-            host.add_rollouts()
+            host.enable_rollouts()
         else:
             host.rollouts.adjust(share=share, slack=slack)
 
-    def _take_apply_within(self) -> None:
+    def _apply_watch_times(self) -> None:
         host = self._host
         for view in host.watch.views:
             view.follower.pace(wait=host.watch_wait(view), pause=host.gather_pause())
--- a/passtally/host_servers.py
+++ b/passtally/host_servers.py
@@ -1,4 +1,4 @@
-"""The addresses at which a host is reached: by callers, the balancer, other hosts."""
+"""The servers of a host: for callers, other hosts, readiness probes and metrics."""
 
 import asyncio
 import socket
@@ -7,7 +7,7 @@
 from functools import partial
 
 from passtally.http_server import (
-    SMALL_PART,
+    SMALL_SHARE,
     Exchange,
     Handle,
     HttpServer,
@@ -19,15 +19,15 @@
 
 
 class HostServers:
-    """What listens at the addresses that the settings tell.
+    """The servers at the addresses in the settings.
 
     Args:
         listeners: Opens and moves the listening sockets.
         peers: The links to other hosts.
-        handle: Answers callers.
-        limits: Returns what callers may send.
-        accepted: Called with how long a caller's connection waited to be taken.
-        encode_ready: Returns the status and body for the balancer's question.
+        handle: Answers callers' requests.
+        limits: Returns the limits on callers' requests.
+        accepted: Called for each caller's connection with its time in the accept queue.
+        encode_ready: Returns the status and the body of the readiness answer.
         render_metrics: Returns the metrics as text.
     """
 
@@ -47,17 +47,17 @@
         self._encode_ready = encode_ready
         self._render_metrics = render_metrics
         self.callers = HttpServer(handle=handle, limits=limits, accepted=accepted)
-        self._readiness = HttpServer(handle=self._answer_ready, part=SMALL_PART)
-        self._metrics = HttpServer(handle=self._answer_metrics, part=SMALL_PART)
+        self._readiness = HttpServer(handle=self._answer_ready, part=SMALL_SHARE)
+        self._metrics = HttpServer(handle=self._answer_metrics, part=SMALL_SHARE)
 
     async def open(
         self, settings: Settings, *, front_socket: socket.socket | None = None
     ) -> None:
-        """Listen at all addresses; what can't be had is tried again.
+        """Listen at all addresses; retry those that are not available.
 
         Args:
-            settings: Where to.
-            front_socket: Listens already where callers come in; None to open one.
+            settings: The settings with the addresses.
+            front_socket: A socket that already listens for callers; None to open one.
         """
         peer_listen = settings.peer_listen
         await self._listeners.open(
@@ -69,7 +69,7 @@
         for name, address in (
             (READINESS, settings.ready_listen),
             (CALLERS, settings.listen),
-            # Last: their port is fixed, and another address may have it.
+            # Last, since the metrics port is fixed and another setting may use it.
             (METRICS, settings.metrics_listen),
         ):
             if address is None:
@@ -82,11 +82,11 @@
             await self._listeners.open(name, address, start, close=close)
 
     def move(self, name: str, address: Address | None) -> None:
-        """Listen at another address, or nowhere.
+        """Move a server to another address.
 
         Args:
-            name: Who is reached there, as :mod:`passtally.listeners` names it.
-            address: Where to listen from now on.
+            name: The listener's name, a constant of :mod:`passtally.listeners`.
+            address: The new address; None to stop listening.
         """
         if name == PEERS:
             start = partial(self._peers.bind, address)
@@ -99,8 +99,9 @@
         self._listeners.move(name, address, start, close=close)
 
     async def stop(self) -> None:
-        """Close all connections once what was answered is written."""
-        # Together: each may take 400 ms for what it has answered, of the 600 ms left.
+        """Flush complete answers and close all connections."""
+        # Concurrently, since each server may take 400 ms to flush and the stop margin
+        # is 600 ms.
         servers = (self.callers, self._readiness, self._metrics)
         await asyncio.gather(*(server.stop() for server in servers))
 
--- a/passtally/http_client.py
+++ b/passtally/http_client.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 client that sends bytes unchanged and never repeats a request.
+"""An HTTP/1.1 client that sends requests byte for byte and never retries.
 
-A connection carries one request at a time and is used again only after an answer
-that was whole, with nothing behind it. h11 does the parsing.
+A connection carries one request at a time. It is reused only after a complete answer
+without trailing data. h11 does the parsing.
 """
 
 import asyncio
@@ -18,13 +18,13 @@
 from passtally.fetch import find_header
 from passtally.http_server import RawHeaders
 
-#: An idle connection is used again for this long, unless the peer says less.
+#: Maximum idle time of a reused connection, unless the peer states a shorter one.
 MAX_IDLE = timedelta(seconds=4)
-#: The part of the peer's own idle limit after which a connection is not used again.
+#: Share of the peer's keep-alive timeout after which a connection is not reused.
 IDLE_SHARE = 0.7
-#: Sent bytes that stay unacknowledged for this long break the connection.
+#: Time that sent data may stay unacknowledged before the connection is closed.
 UNACKNOWLEDGED_TIMEOUT = timedelta(seconds=2)
-#: Unread input above which the peer is made to wait, in bytes.
+#: Size of the unread input, in bytes, above which reading pauses.
 READ_HIGH_WATER = 256 * 1024
 
 _METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
@@ -32,23 +32,23 @@
 
 
 class ExchangeStep(StrEnum):
-    """How far a request came before its connection failed."""
+    """The progress of a request when its connection failed."""
 
-    #: No connection came up; no byte was sent.
+    #: The connection was not established; no byte was sent.
     CONNECT = "connect"
-    #: The request was handed to the connection; it may have been read.
+    #: The request was written to the connection; the peer may have read it.
     SENT = "sent"
-    #: The answer had begun.
+    #: The head of the answer had been received.
     ANSWER = "answer"
 
 
 class ExchangeError(Exception):
-    """A request that got no whole answer.
+    """A request that received no complete answer.
 
     Args:
-        step: How far it came.
-        detail: What was seen.
-        is_garbled: Whether the peer sent bytes that are no answer.
+        step: The progress of the request.
+        detail: The cause.
+        is_garbled: Whether the peer sent an invalid or an oversized answer.
     """
 
     def __init__(
@@ -66,9 +66,10 @@
 
     Attributes:
         status: The HTTP status.
-        headers: The headers in order, with the names as the peer wrote them.
-        is_framed: Whether the answer tells its end; one that does not ends with its
-            connection, and nobody can tell whether it is whole.
+        headers: The headers in order, with the names in their original case.
+        is_framed: Whether the end of the body is marked by its length or by chunks.
+            Otherwise the body ends when the connection closes, and a complete body
+            cannot be told from a truncated one.
     """
 
     status: int
@@ -76,12 +77,12 @@
     is_framed: bool = True
 
     def header(self, name: bytes) -> bytes | None:
-        """Return a header's value by its name in lower case, or None."""
+        """Return the first value of a header by its lower-case name, or None."""
         return find_header(self.headers, name)
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a peer.
+    """A connection to a peer, which carries one request at a time.
 
     Args:
         clock: The clock.
@@ -95,15 +96,16 @@
         self._buffered = 0
         self._step = ExchangeStep.CONNECT
         self._is_broken = False
-        self._is_resting = False
+        self._is_idle = False
         self._error: Exception | None = None
         self._usable_until = timedelta(0)
-        #: When its last request was sent, and when its last answer was whole.
+        #: When the last request was sent, on the monotonic clock.
         self.sent_at = timedelta(0)
-        self.rested_at = timedelta(0)
+        #: When the connection last became idle, on the monotonic clock.
+        self.idle_since = timedelta(0)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Make a dead peer show itself."""
+        """Set the TCP user timeout, so that a dead peer is detected."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None and sock.family == socket.AF_INET:
@@ -111,8 +113,8 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout)
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes; those that come while no answer is due end its use."""
-        if self._is_resting:
+        """Parse input; close an idle connection that receives any."""
+        if self._is_idle:
             self.abort()
             return
         self._buffered += len(data)
@@ -122,24 +124,24 @@
         self._arrived.set()
 
     def eof_received(self) -> bool:
-        """Take in the peer's close."""
-        if not self._is_resting:
+        """Mark the connection as closed by the peer."""
+        if not self._is_idle:
             self._parser.receive_data(b"")
         self._is_broken = True
         self._arrived.set()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Wake whoever waits."""
+        """Record the error and wake the reader."""
         self._is_broken = True
         self._error = error
         self._arrived.set()
 
     @property
     def is_usable(self) -> bool:
-        """Whether a request may be sent on it now."""
+        """Whether the connection is idle, open and within its idle time."""
         fresh = self._clock.monotonic() < self._usable_until
-        return self._is_resting and not self._is_broken and fresh
+        return self._is_idle and not self._is_broken and fresh
 
     async def send(
         self,
@@ -153,13 +155,13 @@
         Args:
             method: The method.
             target: The path and query, byte for byte.
-            headers: The headers; the body's length is added.
-            body: The whole body.
+            headers: The headers; Content-Length is added.
+            body: The complete body.
 
         Raises:
-            ExchangeError: None came.
+            ExchangeError: The connection failed or the answer is invalid.
         """
-        self._is_resting = False
+        self._is_idle = False
         self.sent_at = self._clock.monotonic()
         self._step = ExchangeStep.SENT
         headers = list(headers)
@@ -180,10 +182,10 @@
                 raise self._fail("closed before an answer")
 
     async def read(self) -> bytes:
-        """Return the next part of the body; empty once the body is whole.
+        """Return the next part of the body, or empty bytes at its end.
 
         Raises:
-            ExchangeError: It ended early.
+            ExchangeError: The answer is truncated or invalid.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
@@ -197,14 +199,14 @@
     async def read_all(
         self, most: int, *, on_part: Callable[[], None] = lambda: None
     ) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
         Args:
-            most: The longest body that is taken, in bytes.
-            on_part: Called whenever a part has come.
+            most: The maximum size of the body, in bytes.
+            on_part: Called for each part received.
 
         Raises:
-            ExchangeError: It ended early or is too long.
+            ExchangeError: The answer is truncated, invalid or too long.
         """
         parts: list[bytes] = []
         size = 0
@@ -217,10 +219,13 @@
         return b"".join(parts)
 
     def rest(self, keep_alive: bytes | None) -> bool:
-        """Make it ready for another request, if its answer allows that.
+        """Make the connection idle, or close it if it cannot be reused.
 
         Args:
             keep_alive: The answer's ``Keep-Alive`` header, if any.
+
+        Returns:
+            Whether the connection may be reused.
         """
         states = self._parser.states
         is_done = states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}
@@ -231,18 +236,18 @@
             return False
         self._parser.start_next_cycle()
         self._buffered = 0
-        self._is_resting = True
-        self.rested_at = self._clock.monotonic()
-        self._usable_until = self.rested_at + _idle_limit(keep_alive)
+        self._is_idle = True
+        self.idle_since = self._clock.monotonic()
+        self._usable_until = self.idle_since + _idle_limit(keep_alive)
         return True
 
     @property
     def is_closed(self) -> bool:
-        """Whether either side has closed it."""
+        """Whether either side has closed the connection."""
         return self._is_broken
 
     def abort(self) -> None:
-        """Close at once, so that the peer stops working."""
+        """Close at once, so that the peer stops working on the request."""
         self._is_broken = True
         if self._transport is not None:
             self._transport.abort()
@@ -288,11 +293,11 @@
 def drop_connection_headers(
     headers: RawHeaders, *, extra: Sequence[bytes] = ()
 ) -> list:
-    """Return the headers that concern more than one connection.
+    """Return the end-to-end headers, without the hop-by-hop headers.
 
     Args:
         headers: All headers.
-        extra: More names to leave out, in lower case.
+        extra: Further header names to remove, in lower case.
     """
     named: set[bytes] = set(extra) | _CONNECTION_HEADERS
     for name, value in headers:
--- a/passtally/http_server.py
+++ b/passtally/http_server.py
@@ -1,9 +1,8 @@
-"""An HTTP/1.1 server that passes bytes on as they came.
+"""An HTTP/1.1 server that keeps requests byte for byte.
 
-Paths, header names and bodies are not normalised. Framing that two parsers could
-read in two ways is refused, so that nothing can be smuggled inside a request.
-h11 does the parsing; this module owns the connections, their time limits, and
-what happens when a caller leaves or reads slowly.
+Paths, header names and bodies are not normalised. Ambiguous framing is rejected to
+prevent request smuggling. h11 does the parsing; this module manages the connections,
+their timeouts, disconnecting callers and backpressure from slow readers.
 """
 
 import asyncio
@@ -24,29 +23,33 @@
 
 RawHeaders = Sequence[tuple[bytes, bytes]]
 
-#: Unread output above which a writer waits, in bytes.
+#: Size of the unsent output, in bytes, above which a writer waits.
 WRITE_HIGH_WATER = 64 * 1024
-#: Input that may wait behind the request being served, in bytes.
+#: Size of the buffered input, in bytes, above which reading pauses while a request is
+#: being served.
 MAX_PIPELINED = 64 * 1024
 LISTEN_BACKLOG = 2048
-#: How long a server that stops goes on sending answers that are made: what a writer
-#: does not wait for, 64 KB, takes 105 ms of an idle link of 5 Mbit/s.
-SEND_REST = timedelta(milliseconds=400)
-#: The part of the process's descriptors that callers' connections may take. Each open
-#: request needs one more, to an endpoint; links to other hosts and the platform need
-#: some, too, and libzmq's thread takes a whole core while it can't accept one of them.
-CALLERS_PART = 0.5
-#: The same for a server that few programs ask, such as the balancer's and the metrics'.
-SMALL_PART = 0.05
-#: Below this part of what it may have a server is not full any more.
-ROOM_PART = 0.9
-#: What each server may have in any case.
+#: Time that a stopping server allows for sending complete answers. The output that a
+#: writer does not wait for, 64 KB, takes 105 ms on an idle link of 5 Mbit/s.
+FLUSH_TIMEOUT = timedelta(milliseconds=400)
+#: Share of the process's file descriptors for callers' connections. Each open request
+#: needs another descriptor for its endpoint, and the links to other hosts and to the
+#: platform need some. Without a free descriptor, libzmq's thread cannot accept a link
+#: and uses a whole core until it can.
+CALLERS_SHARE = 0.5
+#: Share of the descriptors for a server with few clients, such as the readiness and
+#: the metrics server.
+SMALL_SHARE = 0.05
+#: Share of a server's connection limit below which the server is no longer full.
+NOT_FULL_SHARE = 0.9
+#: Minimum connection limit of each server.
 MIN_CONNECTIONS = 4
-#: Where Linux's struct tcp_info holds since when nothing has come, in milliseconds.
+#: Offset of ``tcpi_last_data_recv`` in Linux's ``struct tcp_info``: the time since the
+#: connection last received data, in milliseconds.
 TCP_INFO_BYTES = 60
 LAST_DATA_OFFSET = 52
-_LAST_DATA = struct.Struct("=I")
-#: The states after a whole answer; in the second its connection is to be closed.
+_LAST_DATA_FIELD = struct.Struct("=I")
+#: Parser states after a complete answer; after MUST_CLOSE the connection is closed.
 _ANSWERED = (h11.DONE, h11.MUST_CLOSE)
 
 _HEAD_END = re.compile(rb"\r?\n\r?\n")
@@ -56,13 +59,13 @@
 
 @attrs.frozen(kw_only=True)
 class ServerLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and the duration of requests.
 
     Attributes:
-        max_header: The longest request head, in bytes.
-        max_body: The longest body, in bytes.
-        header_timeout: How long a request's head and body may take to arrive.
-        idle_timeout: How long a connection may rest between requests.
+        max_header: The maximum size of a request head, in bytes.
+        max_body: The maximum size of a body, in bytes.
+        header_timeout: The time limit for a request's head and body to arrive.
+        idle_timeout: The time limit for an idle connection between requests.
     """
 
     max_header: int = 16 * 1024
@@ -72,11 +75,11 @@
 
 
 class BadRequestError(Exception):
-    """A request that can't be read.
+    """A malformed, oversized or late request.
 
     Args:
-        status: The HTTP status to answer with.
-        problem: What is wrong.
+        status: The HTTP status of the answer.
+        problem: The reason, sent as the body of the answer.
     """
 
     def __init__(self, status: int, problem: str) -> None:
@@ -86,13 +89,13 @@
 
 @attrs.frozen(kw_only=True)
 class HttpRequest:
-    """One request as it came.
+    """A request, byte for byte as the caller sent it.
 
     Attributes:
         method: The method.
-        target: The path and query, byte for byte.
-        headers: The headers in order, with the names as the caller wrote them.
-        body: The whole body.
+        target: The path and query.
+        headers: The headers in order, with the names in their original case.
+        body: The complete body.
     """
 
     method: bytes
@@ -101,7 +104,7 @@
     body: bytes
 
     def header(self, name: bytes) -> bytes | None:
-        """Return a header's value by its name in lower case, or None."""
+        """Return the first value of a header by its lower-case name, or None."""
         for known, value in self.headers:
             if known.lower() == name:
                 return value
@@ -109,11 +112,11 @@
 
 
 class Exchange:
-    """One request and the answer to it.
+    """A request and the answer to it.
 
     Args:
         request: The request.
-        connection: The connection it came on.
+        connection: The connection that carries both.
     """
 
     def __init__(self, *, request: HttpRequest, connection: "ServerConnection") -> None:
@@ -122,7 +125,7 @@
         self._connection = connection
 
     async def answer(self, status: int, headers: RawHeaders, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer with its Content-Length."""
         length = (b"Content-Length", str(len(body)).encode())
         await self.begin(status, [*headers, length])
         await self.write(body)
@@ -135,18 +138,18 @@
 
         Args:
             status: The status.
-            headers: The headers; without a length the body is sent in chunks.
-            is_framed: Whether the answer is to tell its end. Else it ends with the
-                connection.
+            headers: The headers; without a Content-Length the body is sent chunked.
+            is_framed: Whether the end of the body is marked by its length or by
+                chunks; otherwise the body ends when the connection closes.
         """
         self.has_begun = True
         self._connection.send_head(status, headers, is_framed=is_framed)
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body; returns when the caller can take more.
+        """Send a part of the body; wait while the output buffer is full.
 
         Raises:
-            ConnectionError: The caller left.
+            ConnectionError: The caller disconnected.
         """
         if data:
             await self._connection.send_data(data)
@@ -156,7 +159,7 @@
         self._connection.send_end()
 
     def abort(self) -> None:
-        """Close the connection, so that the answer can't look complete."""
+        """Abort the connection, so that the answer is seen to be incomplete."""
         self._connection.abort()
 
 
@@ -164,14 +167,14 @@
 
 
 class HttpServer:
-    """Listens, and hands each request to a handler.
+    """An HTTP server that passes each request to a handler.
 
     Args:
-        handle: Called for each request; a request whose caller leaves is cancelled.
+        handle: Called for each request; cancelled when the caller disconnects.
         limits: Returns the limits in force.
-        part: The part of the process's descriptors that its connections may take.
-        accepted: Called with how long each connection had waited to be taken, where
-            the system tells.
+        part: The share of the process's file descriptors for its connections.
+        accepted: Called for each new connection with its time in the accept queue,
+            where the system reports that.
     """
 
     def __init__(
@@ -179,23 +182,23 @@
         *,
         handle: Handle,
         limits: Callable[[], ServerLimits] = ServerLimits,
-        part: float = CALLERS_PART,
+        part: float = CALLERS_SHARE,
         accepted: Callable[[timedelta], None] | None = None,
     ) -> None:
         self.handle = handle
         self.limits = limits
         self._accepted = accepted
-        #: Whether every answer asks its caller to open a new connection.
+        #: Whether every answer carries ``Connection: close``.
         self.is_closing = False
-        #: In the order in which they came.
+        #: Open connections, in the order of their acceptance.
         self._connections: dict[ServerConnection, None] = {}
-        self._most_connections = _count_connections(part)
+        self._max_connections = _count_connections(part)
         self._is_full = False
-        #: What listens, by the host and port that it was told.
+        #: Listening servers by the host and port that they were given.
         self._listening_by_address: dict[tuple[str, int], asyncio.Server] = {}
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; return the port. It may listen at several addresses at a time."""
+        """Listen at one more address; return the port."""
         loop = asyncio.get_running_loop()
         listening = await loop.create_server(
             lambda: ServerConnection(server=self), host, port, backlog=LISTEN_BACKLOG
@@ -204,7 +207,7 @@
         return listening.sockets[0].getsockname()[1]
 
     async def start_on(self, listening: socket.socket) -> None:
-        """Take the connections of a socket that listens already."""
+        """Accept the connections of a socket that is already listening."""
         loop = asyncio.get_running_loop()
         address = listening.getsockname()
         self._listening_by_address[address] = await loop.create_server(
@@ -214,20 +217,20 @@
         )
 
     def leave(self, host: str, port: int) -> None:
-        """Listen at an address no more; its connections stay open."""
+        """Stop listening at an address; keep its connections open."""
         listening = self._listening_by_address.pop((host, port), None)
         if listening is not None:
             listening.close()
 
     async def stop(self) -> None:
-        """Stop listening, break off what is open, and send what is answered."""
+        """Stop listening, abort open requests, and flush complete answers."""
         for listening in self._listening_by_address.values():
             listening.close()
         connections = list(self._connections)
         for connection in connections:
             connection.stop()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(SEND_REST.total_seconds()):
+            async with asyncio.timeout(FLUSH_TIMEOUT.total_seconds()):
                 for connection in connections:
                     await connection.closed.wait()
         for connection in connections:
@@ -236,65 +239,66 @@
         await asyncio.gather(*filter(None, tasks), return_exceptions=True)
 
     def close_idle(self) -> None:
-        """Close the connections that rest between two requests."""
+        """Close all idle connections."""
         for connection in list(self._connections):
             connection.close_if_idle()
 
     def add(self, connection: "ServerConnection", transport: asyncio.Transport) -> bool:
-        """Take in a new connection; return whether there is room for it.
+        """Register a new connection; return False if the server is full.
 
-        Where all are taken, the oldest that rests gives way.
+        At the connection limit, the oldest idle connection is closed to make room.
         """
         if self._accepted is not None:
-            waited = _time_waited(transport)
+            waited = _accept_queue_time(transport)
             if waited is not None:
                 self._accepted(waited)
-        if len(self._connections) >= self._most_connections:
-            self._tell_full()
+        if len(self._connections) >= self._max_connections:
+            self._log_full()
             if not self._close_one_idle():
                 return False
         self._connections[connection] = None
         return True
 
-    def _tell_full(self) -> None:
-        """Log once that all connections are taken, until there is room again."""
+    def _log_full(self) -> None:
+        """Log that the connection limit is reached, once until there is room again."""
         if not self._is_full:
             self._is_full = True
-            most = self._most_connections
-            log_event("http", "As many connections as may be are open.", most=most)
+            most = self._max_connections
+            log_event("http", "The connection limit is reached.", most=most)
 
     def _close_one_idle(self) -> bool:
         for connection in self._connections:
             if connection.is_idle:
-                # Not only once it is closed: several may come in one pass of the loop.
+                # Removed at once, not when the close completes: several connections
+                # may arrive in one iteration of the event loop.
                 self.remove(connection)
                 connection.close_if_idle()
                 return True
         return False
 
     def remove(self, connection: "ServerConnection") -> None:
-        """Forget a connection."""
+        """Unregister a connection that closes."""
         self._connections.pop(connection, None)
-        if len(self._connections) < ROOM_PART * self._most_connections:
+        if len(self._connections) < NOT_FULL_SHARE * self._max_connections:
             self._is_full = False
 
 
-def _time_waited(transport: asyncio.Transport) -> timedelta | None:
-    """Return for how long a connection has lain in the queue; None if nobody tells."""
+def _accept_queue_time(transport: asyncio.Transport) -> timedelta | None:
+    """Return a new connection's time in the accept queue; None if not reported."""
     sock = transport.get_extra_info("socket")
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
-        (milliseconds,) = _LAST_DATA.unpack_from(info, LAST_DATA_OFFSET)
+        (milliseconds,) = _LAST_DATA_FIELD.unpack_from(info, LAST_DATA_OFFSET)
     except (OSError, AttributeError, struct.error):
         return None
     return timedelta(milliseconds=milliseconds)
 
 
 class ServerConnection(asyncio.Protocol):
-    """One caller's connection.
+    """A caller's connection, which serves one request at a time.
 
     Args:
-        server: The server it belongs to.
+        server: The server that accepted the connection.
     """
 
     def __init__(self, *, server: HttpServer) -> None:
@@ -306,8 +310,8 @@
         self._arrived = asyncio.Event()
         self._writable = asyncio.Event()
         self._writable.set()
-        self._unchecked = b""
-        self._waiting = b""
+        self._unchecked_head = b""
+        self._pending_input = b""
         self._is_serving = False
         self._is_lost = False
         self._has_request_bytes = False
@@ -316,7 +320,7 @@
         self.closed = asyncio.Event()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Begin to serve."""
+        """Start serving; abort the connection if the server is full."""
         self._transport = transport
         transport.set_write_buffer_limits(high=WRITE_HIGH_WATER)
         if not self._server.add(self, transport):
@@ -325,22 +329,26 @@
         self.task = asyncio.get_running_loop().create_task(self._serve())
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes; while a request is served they wait."""
+        """Parse input, or buffer it while a request is being served."""
         if self._is_serving:
-            self._waiting += data
-            if len(self._waiting) > MAX_PIPELINED:
+            self._pending_input += data
+            if len(self._pending_input) > MAX_PIPELINED:
                 self._transport.pause_reading()
             return
         self._feed(data)
 
     def eof_received(self) -> bool:
-        """Take the caller's close as its leaving, also where it takes no output."""
+        """Abort the request being served when the caller closes its side.
+
+        The transport's own close would first flush the output, which never completes
+        if the caller does not read.
+        """
         if self._is_serving:
             self.abort()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel the request that is served."""
+        """Cancel the request being served."""
         self._is_lost = True
         self._server.remove(self)
         self.closed.set()
@@ -350,20 +358,20 @@
             self.task.cancel()
 
     def pause_writing(self) -> None:
-        """Let writers wait."""
+        """Block writers until the output buffer drains."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Unblock writers."""
         self._writable.set()
 
     def abort(self) -> None:
-        """Close at once; unsent output is dropped."""
+        """Close at once and drop unsent output."""
         if self._transport is not None and not self.closed.is_set():
             self._transport.abort()
 
     def stop(self) -> None:
-        """Break off a request that is served; else close once all is sent."""
+        """Abort a request being served; otherwise close after flushing the output."""
         if self._is_serving and not self._transport.is_closing():
             self.abort()
         else:
@@ -380,10 +388,10 @@
             self._transport.close()
 
     def send_head(self, status: int, headers: RawHeaders, *, is_framed: bool) -> None:
-        """Send an answer's head."""
+        """Send the head of an answer."""
         self._check_open()
         if not is_framed:
-            # h11 ends an answer with its connection only towards older callers.
+            # h11 ends a body by closing the connection only for HTTP/1.0 clients.
             self._parser.their_http_version = b"1.0"
         headers = list(headers)
         if not any(name.lower() == b"date" for name, _ in headers):
@@ -393,7 +401,7 @@
         self._send(h11.Response(status_code=status, headers=headers))
 
     async def send_data(self, data: bytes) -> None:
-        """Send a part of an answer's body."""
+        """Send a part of the body; wait while the output buffer is full."""
         self._check_open()
         self._send(h11.Data(data=data))
         if not self._writable.is_set():
@@ -401,7 +409,7 @@
             self._check_open()
 
     def send_end(self) -> None:
-        """Send the end of an answer's body."""
+        """Mark the answer as complete."""
         self._check_open()
         self._send(h11.EndOfMessage())
 
@@ -412,7 +420,7 @@
 
     def _check_open(self) -> None:
         if self._is_lost or self._transport.is_closing():
-            raise ConnectionResetError("the caller left")
+            raise ConnectionResetError("the caller disconnected")
 
     async def _serve(self) -> None:
         try:
@@ -421,7 +429,7 @@
         except BadRequestError as error:
             self._refuse(error)
         except (ConnectionError, h11.LocalProtocolError) as error:
-            log_event("http", "Connection broke off.", why=error)
+            log_event("http", "The connection was aborted.", why=error)
             self.abort()
             return
         except Exception as error:
@@ -431,7 +439,7 @@
         self._close()
 
     def _close(self) -> None:
-        """Close once all is sent; a caller that takes nothing is not waited for."""
+        """Close after flushing the output; abort if the caller does not read it."""
         if self._transport.get_write_buffer_size():
             idle_timeout = self._server.limits().idle_timeout.total_seconds()
             asyncio.get_running_loop().call_later(idle_timeout, self.abort)
@@ -448,7 +456,7 @@
         except TimeoutError:
             raise BadRequestError(408, "the request came too slowly") from None
         self._is_serving = True
-        await self._look_for_close()
+        await self._check_for_close()
         exchange = Exchange(request=request, connection=self)
         await self._server.handle(exchange)
         if self._parser.our_state not in _ANSWERED:
@@ -456,14 +464,15 @@
             return False
         return self._start_next_cycle()
 
-    async def _look_for_close(self) -> None:
-        """Hear a close that came right behind the request.
+    async def _check_for_close(self) -> None:
+        """Detect a close that arrived right after the request.
 
-        A host that was busy reads requests whose callers gave up meanwhile. Without
-        this pass of the loop they would be sent on before their close is read.
+        A host that was busy may read requests whose callers have given up meanwhile.
+        This yields to the event loop once, so that the close is read before the
+        request is forwarded.
 
         Raises:
-            ConnectionError: The caller left.
+            ConnectionError: The caller disconnected.
         """
         await asyncio.sleep(0)
         self._check_open()
@@ -475,14 +484,14 @@
         self._parser.start_next_cycle()
         self._is_serving = False
         self._has_request_bytes = bool(trailing)
-        waiting, self._waiting = self._waiting, b""
+        waiting, self._pending_input = self._pending_input, b""
         self._transport.resume_reading()
         if waiting:
             self._feed(waiting)
         return True
 
     async def _has_next(self, idle_timeout: timedelta) -> bool:
-        """Wait for a request to begin; return whether one did in time."""
+        """Wait for the start of a request; return False on the idle timeout."""
         try:
             async with asyncio.timeout(idle_timeout.total_seconds()):
                 while not self._has_request_bytes:
@@ -524,26 +533,26 @@
                 await self._wait()
                 continue
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-                raise ConnectionResetError("closed before a whole request")
+                raise ConnectionResetError("closed before a complete request")
             return event
 
     async def _wait(self) -> None:
         self._arrived.clear()
         await self._arrived.wait()
         if self._is_lost:
-            raise ConnectionResetError("the caller left")
+            raise ConnectionResetError("the caller disconnected")
 
     def _feed(self, data: bytes) -> None:
-        """Hand bytes to the parser, a head only once all of it can be checked."""
+        """Pass input to the parser; keep back a head until it is complete."""
         self._has_request_bytes = True
         if self._parser.their_state is h11.IDLE:
-            data = self._check_head(self._unchecked + data)
+            data = self._check_head(self._unchecked_head + data)
         if data:
             self._parser.receive_data(data)
         self._arrived.set()
 
     def _check_head(self, data: bytes) -> bytes:
-        """Return the bytes to parse: none until a whole head could be checked."""
+        """Return the bytes to parse: none until the head is complete and checked."""
         end = _HEAD_END.search(data)
         length = len(data) if end is None else end.end()
         if length > self._server.limits().max_header:
@@ -551,13 +560,13 @@
         elif end is not None and _AMBIGUOUS_HEAD.search(data[:length]):
             self._problem = BadRequestError(400, "ambiguous line ends in the head")
         elif end is None:
-            self._unchecked = data
+            self._unchecked_head = data
             return b""
-        self._unchecked = b""
+        self._unchecked_head = b""
         return data
 
     def _refuse(self, error: BadRequestError) -> None:
-        log_event("http", "Refused a request.", status=error.status, why=error)
+        log_event("http", "Rejected a request.", status=error.status, why=error)
         if self._parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             self.abort()
             return
@@ -573,7 +582,7 @@
 
 
 def _count_connections(part: float) -> int:
-    """Return how many connections a part of the process's descriptors is."""
+    """Return the connection limit for a share of the process's file descriptors."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY:
         return sys.maxsize
@@ -581,7 +590,11 @@
 
 
 def _check_framing(head: h11.Request) -> None:
-    """Refuse a request whose end two parsers could see in two places."""
+    """Reject a request whose framing headers are ambiguous.
+
+    Raises:
+        BadRequestError: Another parser could find another end of the request.
+    """
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
         raise BadRequestError(400, "both a length and a transfer encoding")
--- a/passtally/listeners.py
+++ b/passtally/listeners.py
@@ -1,4 +1,4 @@
-"""The addresses at which a host listens, each taken as soon as it is free."""
+"""The listening addresses of a host, each opened as soon as it is available."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -11,16 +11,16 @@
 from passtally.decision import log_event
 from passtally.settings import Address
 
-#: How long to wait between two tries for an address. The balancer asks once a second
-#: and a caller waits as long for a connection, so neither notices one try more.
+#: Interval between two attempts to open an address. The balancer polls once a second,
+#: and a caller waits one second for a connection, so neither notices one more attempt.
 RETRY_PAUSE = timedelta(milliseconds=100)
-#: How often an address that stays in use is logged again: six lines a minute.
+#: Interval for logging an address that stays unavailable: six lines a minute.
 LOG_INTERVAL = timedelta(seconds=10)
-#: How long an address that is no longer told stays open beside the one that is: whoever
-#: came in there, the balancer among them, hears of the other one a little later.
-LET_GO_AFTER = timedelta(seconds=5)
+#: Time that a replaced address stays open beside the new one. The balancer and other
+#: clients learn of the new address a little later.
+CLOSE_DELAY = timedelta(seconds=5)
 
-#: How the log names who comes in at an address.
+#: Names of the listeners in the log, by their clients.
 CALLERS = "callers"
 PEERS = "other hosts"
 READINESS = "readiness"
@@ -31,35 +31,36 @@
 
 
 def _keep_open() -> None:
-    """Close nothing: the address is open until its owner ends."""
+    """Keep the address open until its owner stops."""
 
 
 @attrs.define(kw_only=True)
 class _Opened:
-    """An address that is open for a name.
+    """An open address of a listener.
 
     Attributes:
-        close: Closes it.
-        left_at: When another one was told in its place, on the monotonic clock; None
-            while it is told.
+        close: Closes the address.
+        replaced_at: When another address replaced this one, on the monotonic clock;
+            None while this address is the configured one.
     """
 
     close: Close
-    left_at: timedelta | None = None
+    replaced_at: timedelta | None = None
 
 
 class Listeners:
-    """Opens listening addresses, and goes on trying for those that can't be had yet.
+    """Opens listening addresses and retries those that are not available yet.
 
-    An address may be in use for a while by a process that has not quite ended, or by a
-    connection that was given its port; it may also come up after the host. A host that
-    ended for that would be gone where nobody starts it again, with all that it could
-    serve meanwhile. What it lacks without an address is for its owner to tell.
+    An address may be in use by a process that is still exiting, or its port may be the
+    local port of an outgoing connection. It may also be configured on the machine only
+    after the host has started. A host that exited for that reason would stay down where
+    no supervisor restarts it, although it could serve at its other addresses. The owner
+    decides what the host lacks without an address (see :meth:`is_open`).
 
     Args:
         clock: The clock.
-        on_open: Called with a name and its address whenever the address that is told
-            is open.
+        on_open: Called with a listener's name and address whenever its configured
+            address is open.
     """
 
     def __init__(
@@ -70,14 +71,14 @@
     ) -> None:
         self._clock = clock
         self._on_open = on_open
-        self._told_by_name: dict[str, Address | None] = {}
+        self._configured_by_name: dict[str, Address | None] = {}
         self._opened_by_name: dict[str, dict[Address, _Opened]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def is_open(self, name: str) -> bool:
-        """Return whether the address that a name is told to be at is open."""
-        told = self._told_by_name.get(name)
-        return told is not None and told in self._opened_by_name[name]
+        """Return whether the configured address of a listener is open."""
+        configured = self._configured_by_name.get(name)
+        return configured is not None and configured in self._opened_by_name[name]
 
     async def open(
         self,
@@ -87,18 +88,18 @@
         *,
         close: Close = _keep_open,
     ) -> None:
-        """Try an address once; where it can't be had, go on trying beside the caller.
+        """Try to open an address; if it is unavailable, retry in the background.
 
         Args:
-            name: Who comes in there.
-            address: Where.
-            open_address: Opens it; raises an OSError where that is not possible now.
-            close: Closes it.
+            name: The name of the listener.
+            address: The address.
+            open_address: Opens the address; raises an OSError if it is unavailable.
+            close: Closes the address.
         """
-        self._told_by_name[name] = address
+        self._configured_by_name[name] = address
         self._opened_by_name.setdefault(name, {})
-        if not await self._try_first(name, address, open_address, close):
-            self._spawn(self._keep_trying(name, address, open_address, close))
+        if not await self._try_once(name, address, open_address, close):
+            self._spawn(self._retry(name, address, open_address, close))
 
     def move(
         self,
@@ -108,26 +109,26 @@
         *,
         close: Close = _keep_open,
     ) -> None:
-        """Listen for a name at another address, and then let the one before go.
+        """Move a listener to another address, and then close the previous one.
 
         Args:
-            name: Who comes in there.
-            address: Where; None for nowhere any more.
-            open_address: Opens it; raises an OSError where that is not possible now.
-            close: Closes it.
+            name: The name of the listener.
+            address: The new address; None to stop listening.
+            open_address: Opens the address; raises an OSError if it is unavailable.
+            close: Closes the address.
         """
         opened = self._opened_by_name.setdefault(name, {})
-        before = self._told_by_name.get(name)
-        self._told_by_name[name] = address
+        before = self._configured_by_name.get(name)
+        self._configured_by_name[name] = address
         if before in opened:
-            opened[before].left_at = self._clock.monotonic()
+            opened[before].replaced_at = self._clock.monotonic()
         if address in opened:
-            opened[address].left_at = None
-        self._yield_addresses()
+            opened[address].replaced_at = None
+        self._close_claimed()
         self._spawn(self._move(name, address, open_address, close))
 
     async def stop(self) -> None:
-        """Try no more."""
+        """Cancel the retries and the delayed closes."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -137,56 +138,57 @@
     ) -> None:
         if self.is_open(name):
             self._on_open(name, address)
-        elif address is not None and not await self._try_first(
+        elif address is not None and not await self._try_once(
             name, address, open_address, close
         ):
-            await self._keep_trying(name, address, open_address, close)
-        await self._let_go_later(name)
+            await self._retry(name, address, open_address, close)
+        await self._close_replaced_later(name)
 
-    async def _let_go_later(self, name: str) -> None:
-        """Close what was left long enough ago, once another address serves."""
-        await self._clock.sleep(LET_GO_AFTER)
-        if self._told_by_name[name] is not None and not self.is_open(name):
+    async def _close_replaced_later(self, name: str) -> None:
+        """Close the replaced addresses after a delay, once the new one is open."""
+        await self._clock.sleep(CLOSE_DELAY)
+        if self._configured_by_name[name] is not None and not self.is_open(name):
             return
-        # What was left a moment ago has a task of its own that closes it. A sleep may
-        # end a moment early, so that the whole time can't be asked for.
-        before = self._clock.monotonic() - LET_GO_AFTER / 2
+        # An address that was replaced only a moment ago has its own task. Half the
+        # delay is required, since a sleep may end slightly early.
+        before = self._clock.monotonic() - CLOSE_DELAY / 2
         for address, opened in list(self._opened_by_name[name].items()):
-            if opened.left_at is not None and opened.left_at <= before:
+            if opened.replaced_at is not None and opened.replaced_at <= before:
                 self._close(name, address)
 
-    def _yield_addresses(self) -> None:
-        """Close at once what one name has left and another is told to be at.
+    def _close_claimed(self) -> None:
+        """Close at once the replaced addresses that another listener is to open.
 
-        Two that change places would else wait for each other for ever.
+        Two listeners that swap their addresses would otherwise wait for each other
+        forever.
         """
-        told = set(self._told_by_name.values())
+        configured = set(self._configured_by_name.values())
         for name, opened in self._opened_by_name.items():
             for address in list(opened):
-                if address != self._told_by_name[name] and address in told:
+                if address != self._configured_by_name[name] and address in configured:
                     self._close(name, address)
 
     def _close(self, name: str, address: Address) -> None:
         self._opened_by_name[name].pop(address).close()
-        log_event("listen", "Let go.", name=name, listen=address)
+        log_event("listen", "Closed.", name=name, listen=address)
 
-    async def _try_first(
+    async def _try_once(
         self, name: str, address: Address, open_address: Open, close: Close
     ) -> bool:
-        """Try once, and tell what is in the way."""
+        """Try to open an address; log the error and return False on failure."""
         problem = await self._try(name, address, open_address, close)
         if problem is not None:
-            self._tell(name, address, problem)
+            self._log_unavailable(name, address, problem)
         return problem is None
 
-    async def _keep_trying(
+    async def _retry(
         self, name: str, address: Address, open_address: Open, close: Close
     ) -> None:
-        """Try until the address is open, or another one is told."""
-        began_at = told_at = self._clock.monotonic()
+        """Retry until the address is open or another one replaces it."""
+        began_at = logged_at = self._clock.monotonic()
         while True:
             await self._clock.sleep(RETRY_PAUSE)
-            if self._told_by_name[name] != address or self.is_open(name):
+            if self._configured_by_name[name] != address or self.is_open(name):
                 return
             problem = await self._try(name, address, open_address, close)
             now = self._clock.monotonic()
@@ -195,9 +197,9 @@
                     "listen", "Open.", name=name, listen=address, after=now - began_at
                 )
                 return
-            if now - told_at >= LOG_INTERVAL:
-                told_at = now
-                self._tell(name, address, problem)
+            if now - logged_at >= LOG_INTERVAL:
+                logged_at = now
+                self._log_unavailable(name, address, problem)
 
     async def _try(
         self, name: str, address: Address, open_address: Open, close: Close
@@ -208,18 +210,18 @@
             return error
         opened = _Opened(close=close)
         self._opened_by_name[name][address] = opened
-        if self._told_by_name[name] == address:
+        if self._configured_by_name[name] == address:
             self._on_open(name, address)
         else:
-            # Another one was told while this one was being opened.
-            opened.left_at = self._clock.monotonic()
-            self._spawn(self._let_go_later(name))
+            # Another address replaced this one while it was being opened.
+            opened.replaced_at = self._clock.monotonic()
+            self._spawn(self._close_replaced_later(name))
         return None
 
-    def _tell(self, name: str, address: Address, problem: OSError) -> None:
+    def _log_unavailable(self, name: str, address: Address, problem: OSError) -> None:
         log_event(
             "listen",
-            "Not open, trying again.",
+            "Cannot listen, trying again.",
             name=name,
             listen=address,
             why=problem,
--- a/passtally/settings_change.py
+++ b/passtally/settings_change.py
@@ -1,4 +1,4 @@
-"""What differs between the settings in force and those that a host is told anew."""
+"""Differences between the settings in force and newly read settings."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
@@ -8,7 +8,7 @@
 from passtally.decision import log_event
 from passtally.settings import Settings
 
-#: Settings whose values are not to be read in a log.
+#: Settings whose values must not be logged.
 SECRETS = frozenset(("resume_keys", "operator_token"))
 
 Apply = Callable[[], None]
@@ -16,12 +16,12 @@
 
 @attrs.frozen(kw_only=True)
 class SettingChange:
-    """A setting that is told anew.
+    """A setting whose newly read value differs from the one in force.
 
     Attributes:
-        name: The setting.
-        was: Its value in force.
-        told: The value that is told.
+        name: The name of the setting.
+        was: The value in force.
+        told: The new value.
     """
 
     name: str
@@ -29,19 +29,19 @@
     told: Any
 
     def log(self, sentence: str, **fields: object) -> None:
-        """Tell what becomes of it, in one line."""
+        """Log the outcome of the change, without the values of a secret."""
         if self.name not in SECRETS:
             fields |= {"was": str(self.was), "told": str(self.told)}
         log_event("settings", sentence, setting=self.name, **fields)
 
 
-def find_changes(was: Settings, told: Settings) -> list[SettingChange]:
-    """Return the settings whose values differ, in their order. Pure."""
+def find_changes(current: Settings, new: Settings) -> list[SettingChange]:
+    """Return the settings that differ, in the order of their definition. Pure."""
     changes = (
         SettingChange(
             name=field.name,
-            was=getattr(was, field.name),
-            told=getattr(told, field.name),
+            was=getattr(current, field.name),
+            told=getattr(new, field.name),
         )
         for field in attrs.fields(Settings)
     )
@@ -49,56 +49,59 @@
 
 
 def keep_unappliable(
-    was: Settings, told: Settings, *, takeable: Mapping[str, object]
+    current: Settings, new: Settings, *, applicable: Mapping[str, object]
 ) -> Settings:
-    """Return the settings that come in force on a running host. Pure.
+    """Return the new settings, without changes that need a restart. Pure.
 
     Args:
-        was: Those in force.
-        told: Those told.
-        takeable: What takes each setting that a running host can take, by its name.
+        current: The settings in force.
+        new: The new settings.
+        applicable: The settings that can change on a running host, as keys.
     """
     kept = {
         change.name: change.was
-        for change in find_changes(was, told)
-        if change.name not in takeable
+        for change in find_changes(current, new)
+        if change.name not in applicable
     }
-    return attrs.evolve(told, **kept)
+    return attrs.evolve(new, **kept)
 
 
 def apply_changes(
     changes: Sequence[SettingChange], *, appliers_by_name: Mapping[str, Apply]
 ) -> list[SettingChange]:
-    """Let the parts of a host take the settings that changed, and tell of each.
+    """Apply the changed settings to the parts of a host and log each outcome.
 
-    One that fails keeps no other from being taken.
+    A change that fails does not prevent the others.
 
     Args:
-        changes: What changed.
-        appliers_by_name: What takes each setting; some take several at once.
+        changes: The changed settings.
+        appliers_by_name: The function that applies each setting; it is called once,
+            even if it applies several of the changed settings.
 
     Returns:
-        The changes that could not be taken, though there is something that takes them.
+        The changes whose function failed.
     """
-    takers = {change.name: appliers_by_name.get(change.name) for change in changes}
-    errors_by_taker = {take: _try(take) for take in set(takers.values()) if take}
+    appliers = {change.name: appliers_by_name.get(change.name) for change in changes}
+    errors_by_applier = {
+        apply: _try(apply) for apply in set(appliers.values()) if apply
+    }
     failed: list[SettingChange] = []
     for change in changes:
-        take = takers[change.name]
-        error = errors_by_taker.get(take)
-        if take is None:
-            change.log("Not taken before the next start.")
+        apply = appliers[change.name]
+        error = errors_by_applier.get(apply)
+        if apply is None:
+            change.log("Takes effect at the next start.")
         elif error is not None:
-            change.log("Could not be taken.", why=repr(error))
+            change.log("Could not be applied.", why=repr(error))
             failed.append(change)
         else:
-            change.log("Taken.")
+            change.log("Applied.")
     return failed
 
 
-def _try(take: Apply) -> Exception | None:
+def _try(apply: Apply) -> Exception | None:
     try:
-        take()
+        apply()
     except Exception as error:
         return error
     return None
--- a/passtally/standard_streams.py
+++ b/passtally/standard_streams.py
@@ -1,4 +1,4 @@
-"""Standard input, output and error of a process that may have been started without.
+"""Replaces standard input, output and error where a process starts without them.
 
 Imports little, since it is needed before the rest of the program is loaded.
 """
@@ -11,17 +11,17 @@
 
 
 def open_standard_streams() -> None:
-    """Lead nowhere what is closed, so that no connection is given its number.
+    """Open closed standard streams on the null device.
 
-    What the program or a library writes to standard output or error would otherwise go
-    to a caller.
+    Otherwise a connection could be given the number of a closed stream, and a caller
+    would receive what the program or a library writes to standard output or error.
     """
     for number in _DESCRIPTORS:
         try:
             os.fstat(number)
         except OSError:
-            # The lowest free number is taken, which is this one.
+            # The system assigns the lowest free descriptor, which is this one.
             os.open(os.devnull, os.O_RDWR)
-    # Libraries ask these about themselves when they are imported.
+    # Python sets these to None for closed streams; libraries use them on import.
     sys.stdout = sys.stdout or os.fdopen(1, "w", closefd=False)
     sys.stderr = sys.stderr or os.fdopen(2, "w", closefd=False)
--- a/passtally/stop_signals.py
+++ b/passtally/stop_signals.py
@@ -1,4 +1,4 @@
-"""Stops that come before a host's loop can take them, or after it has ended.
+"""Handling of stop signals before a host's event loop starts and after it stops.
 
 Imports little, since it is needed before the rest of the program is loaded.
 """
@@ -16,47 +16,48 @@
     from asyncio import AbstractEventLoop
 
 NUMBERS = (signal.SIGTERM, signal.SIGINT)
-#: With the one by which a host reads its settings again.
+#: The stop signals, and SIGHUP, which makes a host reload its settings.
 _ALL = (*NUMBERS, signal.SIGHUP)
 
 
 class StopSignals:
-    """Takes the place of the default actions, which end a process on the spot.
+    """Signal handlers that replace the default actions, which kill the process.
 
-    Loading takes half a second or more. Callers' connections that wait meanwhile would
-    be reset by a stop in that time, and the end would look like a failure.
+    Loading the program takes half a second or more. The default action of a stop signal
+    in that time would reset the waiting connections of callers, and the exit would look
+    like a failure.
     """
 
     def __init__(self) -> None:
-        self._asked_at: float | None = None
+        self._stop_requested_at: float | None = None
 
     def catch(self) -> None:
-        """Note a stop from now on."""
+        """Start recording stop signals."""
         for number in NUMBERS:
-            signal.signal(number, self._note)
-        # Whoever starts a host may block signals for itself, which is inherited: they
-        # would never arrive.
+            signal.signal(number, self._record)
+        # A blocked signal never arrives, and the process that starts a host may have
+        # signals blocked, which the host inherits.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, _ALL)
 
     def hand_over(self, loop: AbstractEventLoop, stop: Callable[[], None]) -> None:
-        """Let a loop take stops from now on.
+        """Handle stop signals in an event loop from now on.
 
         Args:
-            loop: The loop.
-            stop: Called for each stop; at once if one was noted.
+            loop: The event loop.
+            stop: Called for each stop signal, and at once if one was recorded.
         """
         for number in NUMBERS:
             loop.add_signal_handler(number, stop)
-        if self._asked_at is not None:
+        if self._stop_requested_at is not None:
             stop()
 
     def ignore(self, loop: AbstractEventLoop) -> None:
-        """Pass over signals from now on: the host is about to end.
+        """Ignore further signals, since the host is about to exit.
 
-        A loop that closes gives them their default action back, and whoever stops a
-        process may say so until it is gone.
+        A closing event loop restores the default actions, and a stop signal may be
+        repeated until the process has exited.
         """
-        # Held back for this moment, in which they have their default action.
+        # Blocked, since the signals have their default actions until SIG_IGN is set.
         signal.pthread_sigmask(signal.SIG_BLOCK, _ALL)
         for number in _ALL:
             loop.remove_signal_handler(number)
@@ -64,14 +65,14 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, _ALL)
 
     def waited(self) -> timedelta:
-        """Return for how long a stop has been noted; none for no time."""
-        if self._asked_at is None:
+        """Return the time since a stop was recorded; zero if none was."""
+        if self._stop_requested_at is None:
             return timedelta(0)
-        return timedelta(seconds=_time_since_boot() - self._asked_at)
+        return timedelta(seconds=_time_since_boot() - self._stop_requested_at)
 
-    def _note(self, number: int, frame: FrameType | None) -> None:
-        if self._asked_at is None:
-            self._asked_at = _time_since_boot()
+    def _record(self, number: int, frame: FrameType | None) -> None:
+        if self._stop_requested_at is None:
+            self._stop_requested_at = _time_since_boot()
 
 
 def _time_since_boot() -> float:
--- a/tests/test_end_lines.py
+++ b/tests/test_end_lines.py
@@ -1,4 +1,4 @@
-"""The log tells of each request that was read, once, how it ended."""
+"""The log has exactly one end line with the result of each request received."""
 
 import asyncio
 from collections.abc import Iterator
@@ -17,18 +17,18 @@
 
 @pytest.fixture
 def ends() -> Iterator[list[dict[str, Any]]]:
-    """The end lines so far."""
+    """The end lines logged so far."""
     found: list[dict[str, Any]] = []
 
-    def note(message: dict[str, Any]) -> None:
+    def record(message: dict[str, Any]) -> None:
         if message.get("message") == "front: Ended.":
             found.append(message)
 
-    add_destinations(note)
-    # The first destination of a process is handed what was logged before.
+    add_destinations(record)
+    # Eliot sends buffered earlier messages to the first destination of a process.
     found.clear()
     yield found
-    remove_destination(note)
+    remove_destination(record)
 
 
 async def start(system: PlatformSystem) -> None:
@@ -40,7 +40,7 @@
 
 
 def result_of(ends: list[dict[str, Any]]) -> str:
-    """Return the result of the only request, which has one end line."""
+    """Return the result in the only end line."""
     (line,) = ends
     assert line["request"].startswith("q")
     return line["result"]
@@ -57,7 +57,7 @@
             ("/look/1", {"X_Deadline_Ms": "soon"}, "refused: bad_request"),
         ],
     )
-    def test_it_tells_how(self, ends, path, fields, expected):
+    def test_the_result_is_logged(self, ends, path, fields, expected):
         async def test(system: PlatformSystem) -> None:
             await start(system)
             send = system.stream if path.startswith("/draft/") else system.send
@@ -68,7 +68,7 @@
 
 
 class TestFailed:
-    def test_an_error_of_the_hosts_own_is_told_as_such(self, ends, monkeypatch):
+    def test_an_internal_error_is_logged_as_failed(self, ends, monkeypatch):
         async def fail(self, admitted, responder) -> str:
             raise RuntimeError("a fault")
 
@@ -82,9 +82,9 @@
         run(test)
 
 
-class TestCallersThatLeave:
+class TestCallersThatDisconnect:
     @pytest.mark.parametrize("path", ["/look/1", "/draft/1"])
-    def test_it_tells_that_they_left(self, ends, path):
+    def test_the_disconnect_is_logged(self, ends, path):
         async def test(system: PlatformSystem) -> None:
             await start(system)
             for runner in system.runners.values():
@@ -100,7 +100,9 @@
 
 class TestStops:
     @pytest.mark.parametrize("path", ["/look/1", "/draft/1"])
-    def test_what_is_open_out_of_grace_is_told_as_broken_off(self, ends, path):
+    def test_requests_open_after_the_grace_period_are_logged_as_aborted(
+        self, ends, path
+    ):
         async def test(system: PlatformSystem) -> None:
             await start(system)
             host = system.hosts.pop()
@@ -115,7 +117,7 @@
 
         run(test)
 
-    def test_a_stop_without_a_grace_is_told_too(self, ends):
+    def test_requests_open_at_a_stop_without_grace_are_logged_as_aborted(self, ends):
         async def test(system: PlatformSystem) -> None:
             await start(system)
             host = system.hosts.pop()
@@ -128,7 +130,9 @@
 
         run(test)
 
-    def test_what_ends_within_the_grace_is_told_as_answered(self, ends):
+    def test_requests_finished_within_the_grace_period_are_logged_as_answered(
+        self, ends
+    ):
         async def test(system: PlatformSystem) -> None:
             await start(system)
             host = system.hosts.pop()
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The raw HTTP client: nothing repeated, nothing taken for another's answer."""
+"""The HTTP client never retries a request and never mixes up two answers."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 @contextlib.contextmanager
 def full_listener() -> Iterator[Address]:
-    """Listen with a full queue, so that no further connection comes up."""
+    """Listen with a full accept queue, so that no further connection is established."""
     with contextlib.ExitStack() as stack:
         server = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=0))
         host, port = server.getsockname()
@@ -39,7 +39,7 @@
 
 
 class Peer:
-    """A peer that sends back what it is told, and counts connections."""
+    """A peer that sends prepared replies and counts its connections."""
 
     def __init__(self, *replies: bytes, reset: bool = False, stay: bool = True) -> None:
         self.replies = list(replies)
@@ -100,7 +100,7 @@
 
 
 async def call(pool: ConnectionPool, peer: Peer, body: bytes = b"") -> bytes:
-    """Make one call and keep the connection if it may be used again."""
+    """Make a call and release its connection to the pool."""
     connection = await pool.take(peer.address)
     head = await connection.send(b"POST", b"/a%2Fb", HEADERS, body)
     answer = await connection.read_all(1000)
@@ -119,7 +119,7 @@
 
         run(peer, test)
 
-    def test_a_whole_answer_leaves_the_connection_usable(self):
+    def test_a_connection_is_reused_after_a_complete_answer(self):
         peer = Peer(OK, OK)
 
         async def test(pool: ConnectionPool) -> None:
@@ -129,7 +129,7 @@
 
         run(peer, test)
 
-    def test_bytes_behind_an_answer_end_the_connection(self):
+    def test_trailing_data_after_an_answer_closes_the_connection(self):
         peer = Peer(OK + OK, OK)
 
         async def test(pool: ConnectionPool) -> None:
@@ -139,7 +139,7 @@
 
         run(peer, test)
 
-    def test_a_late_answer_on_an_idle_connection_ends_it(self):
+    def test_data_on_an_idle_connection_closes_it(self):
         peer = Peer(OK)
 
         async def test(pool: ConnectionPool) -> None:
@@ -155,7 +155,7 @@
     @pytest.mark.parametrize(
         "head", [b"Connection: close\r\n", b"Keep-Alive: timeout=0\r\n"]
     )
-    def test_an_answer_may_end_the_use_of_its_connection(self, head):
+    def test_a_header_may_forbid_reuse_of_the_connection(self, head):
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n" + head + b"\r\nok"
         peer = Peer(answer, answer)
 
@@ -167,14 +167,14 @@
         run(peer, test)
 
 
-class TestTrust:
-    """Which kept connections are used after one was found silent."""
+class TestInvalidation:
+    """Idle connections that may be silent are closed, and the others are reused."""
 
     async def keep_two(self, pool: ConnectionPool, peer: Peer) -> None:
         await asyncio.gather(call(pool, peer), call(pool, peer))
         assert peer.connections == 2
 
-    def test_those_to_a_peer_that_did_not_answer_are_closed(self):
+    def test_idle_connections_are_closed_after_a_timeout(self):
         peer = Peer(OK, OK, b"", OK)
 
         async def test(pool: ConnectionPool) -> None:
@@ -194,7 +194,7 @@
 
         run(peer, test)
 
-    def test_those_used_since_a_moment_are_kept(self):
+    def test_recently_used_connections_are_kept(self):
         peer = Peer(*[OK] * 5)
 
         async def test(pool: ConnectionPool) -> None:
@@ -210,7 +210,7 @@
 
         run(peer, test)
 
-    def test_a_new_one_is_opened_where_that_is_asked_for(self):
+    def test_a_new_connection_is_opened_on_request(self):
         peer = Peer(OK)
 
         async def test(pool: ConnectionPool) -> None:
@@ -223,7 +223,7 @@
 
 
 class TestFailures:
-    def test_no_connection_is_told_as_such(self):
+    def test_a_refused_connection_is_reported_as_such(self):
         async def main() -> None:
             pool = ConnectionPool(clock=SystemClock())
             with pytest.raises(ExchangeError) as caught:
@@ -232,7 +232,7 @@
 
         asyncio.run(main())
 
-    def test_a_request_that_got_no_answer_is_not_repeated(self):
+    def test_a_request_without_an_answer_is_not_retried(self):
         peer = Peer(b"", reset=True)
 
         async def test(pool: ConnectionPool) -> None:
@@ -253,7 +253,7 @@
             b"HTTP/1.1 200 OK\r\n\r\nok",
         ],
     )
-    def test_an_answer_that_is_reset_is_not_whole(self, reply):
+    def test_a_reset_answer_is_incomplete(self, reply):
         peer = Peer(reply, reset=True)
 
         async def test(pool: ConnectionPool) -> None:
@@ -263,7 +263,7 @@
 
         run(peer, test)
 
-    def test_bytes_that_are_no_answer_are_told_as_such(self):
+    def test_an_invalid_answer_is_reported_as_garbled(self):
         peer = Peer(b"\x00\x01garbage\r\n\r\n")
 
         async def test(pool: ConnectionPool) -> None:
@@ -286,7 +286,7 @@
 
         run(peer, test)
 
-    def test_an_answer_that_is_too_long_is_refused(self):
+    def test_an_answer_that_is_too_long_is_rejected(self):
         peer = Peer(b"HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n" + b"a" * 2000)
 
         async def test(pool: ConnectionPool) -> None:
@@ -297,12 +297,12 @@
 
 
 class TestOwnPause:
-    """This host does not run for longer than its time limit for a connection."""
+    """This host is paused for longer than its time limit for a connection."""
 
     @pytest.mark.parametrize(
         "new_loop", [asyncio.new_event_loop, uvloop.new_event_loop]
     )
-    def test_a_connection_that_has_come_up_meanwhile_is_taken(self, new_loop):
+    def test_a_connection_established_during_the_pause_is_used(self, new_loop):
         async def test() -> None:
             with socket.create_server(("127.0.0.1", 0)) as server:
                 host, port = server.getsockname()
@@ -322,7 +322,7 @@
     @pytest.mark.parametrize(
         "new_loop", [asyncio.new_event_loop, uvloop.new_event_loop]
     )
-    def test_a_peer_that_takes_none_is_still_told(self, new_loop):
+    def test_a_peer_that_accepts_no_connection_is_still_reported(self, new_loop):
         async def test() -> None:
             with full_listener() as address:
                 pool = ConnectionPool(clock=SystemClock())
@@ -339,7 +339,7 @@
 
 
 class TestHeaders:
-    def test_headers_of_one_connection_are_dropped(self):
+    def test_hop_by_hop_headers_are_dropped(self):
         headers = [
             (b"Connection", b"close, X-Hop"),
             (b"x-hop", b"1"),
@@ -356,7 +356,7 @@
 class TestFetching:
     SECOND = timedelta(seconds=1)
 
-    def test_a_call_is_made_on_a_kept_connection(self):
+    def test_calls_reuse_a_connection(self):
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
         peer = Peer(answer, answer)
 
@@ -375,7 +375,7 @@
 
         run(peer, test)
 
-    def test_a_body_that_keeps_coming_is_not_given_up(self):
+    def test_a_body_that_keeps_arriving_is_not_aborted(self):
         head = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n"
         peer = SlowPeer(head, b"ab", b"cd", b"ef")
 
@@ -387,7 +387,7 @@
 
         run(peer, test)
 
-    def test_a_body_that_stops_is_given_up(self, monkeypatch):
+    def test_a_body_that_stops_arriving_is_aborted(self, monkeypatch):
         monkeypatch.setattr(
             connection_pool, "PART_TIMEOUT", timedelta(milliseconds=200)
         )
@@ -404,7 +404,7 @@
 
         run(peer, test)
 
-    def test_an_answer_that_does_not_come_is_told_and_its_connection_closed(self):
+    def test_a_missing_answer_is_reported_and_its_connection_closed(self):
         peer = Peer()
 
         async def test(pool: ConnectionPool) -> None:
@@ -421,7 +421,7 @@
         run(peer, test)
 
     @pytest.mark.parametrize("reset", [True, False])
-    def test_an_answer_that_breaks_off_is_none(self, reset):
+    def test_a_truncated_answer_is_an_error(self, reset):
         peer = Peer(
             b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", reset=reset, stay=False
         )
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,7 @@
-"""The raw HTTP server: bytes kept, ambiguous framing refused, leavers noticed."""
+"""The HTTP server keeps requests byte for byte and rejects ambiguous framing.
+
+It also notices callers that disconnect and limits what slow readers hold up.
+"""
 
 import asyncio
 import socket
@@ -18,7 +21,7 @@
 
 
 class Server:
-    """A server that keeps its requests and answers them as told."""
+    """A server that records its requests and answers them by a chosen handler."""
 
     def __init__(self) -> None:
         self.requests: list[HttpRequest] = []
@@ -53,7 +56,7 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def send(self, data: bytes) -> bytes:
-        """Send bytes on a new connection; return all that comes until it closes."""
+        """Send bytes on a new connection; return all data received until it closes."""
         reader, writer = await self.open()
         writer.write(data)
         answer = await asyncio.wait_for(reader.read(), 5)
@@ -97,7 +100,7 @@
 
         serve(test)
 
-    def test_a_body_in_chunks_is_put_together(self):
+    def test_a_chunked_body_is_assembled(self):
         async def test(server: Server) -> None:
             answer = await server.send(
                 b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
@@ -155,7 +158,7 @@
 
 class TestFraming:
     @pytest.mark.parametrize(("name", "data"), SMUGGLED, ids=[n for n, _ in SMUGGLED])
-    def test_ambiguous_framing_is_refused_and_the_connection_closed(self, name, data):
+    def test_ambiguous_framing_is_rejected_and_the_connection_closed(self, name, data):
         async def test(server: Server) -> None:
             answer = await server.send(data)
             assert answer.split(b" ")[1] in (b"400", b"501"), answer
@@ -163,7 +166,7 @@
 
         serve(test)
 
-    def test_a_head_that_is_too_long_is_refused(self):
+    def test_a_head_that_is_too_long_is_rejected(self):
         async def test(server: Server) -> None:
             head = b"GET / HTTP/1.1\r\nHost: h\r\nX: " + b"a" * 3000
             answer = await server.send(head + b"\r\n\r\n")
@@ -171,7 +174,7 @@
 
         serve(test)
 
-    def test_a_body_that_is_too_long_is_refused(self):
+    def test_a_body_that_is_too_long_is_rejected(self):
         async def test(server: Server) -> None:
             answer = await server.send(
                 b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n"
@@ -182,7 +185,7 @@
 
         serve(test)
 
-    def test_a_request_that_comes_too_slowly_is_refused_unrun(self):
+    def test_a_request_that_arrives_too_slowly_is_rejected_unrun(self):
         async def test(server: Server) -> None:
             answer = await server.send(b"GET / HTTP/1.1\r\nHost:")
             assert answer.split(b" ")[1] == b"408"
@@ -214,7 +217,7 @@
 
         serve(test)
 
-    def test_an_answer_that_is_broken_off_does_not_look_complete(self):
+    def test_an_aborted_answer_does_not_look_complete(self):
         async def test(server: Server) -> None:
             async def handle(exchange: Exchange) -> None:
                 await exchange.begin(200, [])
@@ -261,13 +264,13 @@
         serve(test)
 
 
-#: Fits below what a writer waits for, and is far more than the sockets take.
+#: Stays below the size at which a writer waits, and far exceeds the socket buffers.
 BODY = b"a" * 50_000
 SMALL_BUFFER = 4096
 
 
 class SlowReader:
-    """A caller on a slow link: little of an answer is under way at once."""
+    """A caller on a slow link, with small socket buffers on both sides."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -283,7 +286,7 @@
         self.answered.set()
 
     async def ask(self, headers: bytes) -> asyncio.StreamReader:
-        """Send a request and return once its answer is made, though not yet read."""
+        """Send a request and return once its answer is written but not yet read."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
         sock.connect(("127.0.0.1", self.server.port))
@@ -302,9 +305,12 @@
 
 
 class TestUnsentAnswers:
-    """An answer that is made is sent whole, however slowly its caller takes it."""
+    """A complete answer is flushed, however slowly its caller reads.
+
+    Closing the connection must not drop the part that is still in the output buffer.
+    """
 
-    def test_one_that_ends_its_connection_is_sent_whole(self):
+    def test_an_answer_that_closes_its_connection_is_flushed(self):
         async def test(server: Server) -> None:
             caller = SlowReader(server)
             reader = await caller.ask(b"Connection: close\r\n")
@@ -313,7 +319,7 @@
 
         serve(test)
 
-    def test_one_of_a_closing_server_is_sent_whole(self):
+    def test_an_answer_of_a_closing_server_is_flushed(self):
         async def test(server: Server) -> None:
             server.http.is_closing = True
             caller = SlowReader(server)
@@ -324,7 +330,7 @@
         serve(test)
 
     @pytest.mark.parametrize("headers", [b"", b"Connection: close\r\n"])
-    def test_one_of_a_server_that_stops_is_sent_whole(self, headers):
+    def test_an_answer_of_a_stopping_server_is_flushed(self, headers):
         async def test(server: Server) -> None:
             caller = SlowReader(server)
             reader = await caller.ask(headers)
@@ -335,7 +341,7 @@
 
         serve(test)
 
-    def test_a_caller_that_reads_nothing_is_let_go_as_an_idle_one(self):
+    def test_a_caller_that_reads_nothing_is_closed_after_the_idle_timeout(self):
         async def test(server: Server) -> None:
             caller = SlowReader(server)
             await caller.ask(b"Connection: close\r\n")
@@ -359,7 +365,7 @@
 
 
 class TestCallers:
-    def test_a_caller_that_leaves_cancels_its_request(self):
+    def test_a_caller_that_disconnects_cancels_its_request(self):
         async def test(server: Server) -> None:
             server.handle = server.wait
             _, writer = await server.open()
@@ -372,7 +378,7 @@
 
         serve(test)
 
-    def test_a_slow_reader_holds_up_only_itself(self):
+    def test_a_slow_reader_stalls_only_its_own_answer(self):
         async def test(server: Server) -> None:
             written = 0
 
--- a/tests/test_idle_connections_kept.py
+++ b/tests/test_idle_connections_kept.py
@@ -1,4 +1,4 @@
-"""A caller that leaves tells nothing of its endpoint's other connections."""
+"""A caller that disconnects does not make its endpoint's idle connections close."""
 
 import asyncio
 import time
@@ -10,29 +10,29 @@
 from tests.platform_system import PlatformSystem, run
 from tests.test_callers_that_leave import Leaver, Runners, start, until
 
-#: Longer than any pause of this process between a call and its caller's end.
+#: Longer than any pause of this process between a call and its caller's disconnect.
 LONG = timedelta(hours=1)
 
 
 def record_opened(host: FrontHost) -> list[Address]:
-    """Return the addresses to which a host opens connections from now on."""
+    """Return a list to which each address is added that a host opens from now on."""
     opened: list[Address] = []
     open_connection = host.pool.open
 
-    async def note(address: Address, **options):
+    async def record(address: Address, **options):
         opened.append(address)
         return await open_connection(address, **options)
 
-    host.pool.open = note
+    host.pool.open = record
     return opened
 
 
-class TestACallerThatLeaves:
-    def test_costs_its_own_connection_and_no_idle_ones(self, monkeypatch):
-        """The process may be held up for longer than an endpoint counts as silent.
+class TestCallerThatDisconnects:
+    def test_closes_its_own_connection_and_no_idle_ones(self, monkeypatch):
+        """The test process may be paused for longer than the silence timeout.
 
-        So that time is set here, and only connections to the endpoint count: after such
-        a pause the store's are opened anew too.
+        The timeout is therefore raised, and only connections to the endpoint are
+        counted: after such a pause the connections to the store are reopened too.
         """
         monkeypatch.setattr(runner_link, "SILENT_AFTER", LONG)
 
--- a/tests/test_idle_hosts.py
+++ b/tests/test_idle_hosts.py
@@ -1,8 +1,7 @@
-"""What a host does while nothing is asked of it.
+"""A host without requests hardly wakes up.
 
-The pattern: among hundreds of hosts nearly all are idle nearly always, on half a core
-each that is paid for. What they do then, they all do: wake-ups of one host count 195
-times, or 330.
+Among hundreds of hosts nearly all are idle most of the time, on half a billed core
+each. Every periodic wake-up of an idle host is repeated on all 195 hosts, or 330.
 """
 
 import asyncio
@@ -24,7 +23,7 @@
 
 
 class CountingClock(VirtualClock):
-    """Counts how often it was slept on."""
+    """A clock that counts its sleeps."""
 
     def __init__(self) -> None:
         self.sleeps = 0
@@ -35,7 +34,7 @@
 
 
 def count_sleeps(make_work) -> float:
-    """Return how often a task sleeps in a second of virtual time."""
+    """Return the number of sleeps of a task per second of virtual time."""
 
     async def main() -> float:
         clock = CountingClock()
@@ -51,10 +50,10 @@
     def make_fleet(self, clock) -> Fleet:
         return Fleet(catalog=make_catalog([]), clock=clock, connect=None)
 
-    def test_without_streams_a_host_hardly_looks(self):
+    def test_without_streams_a_host_rarely_checks(self):
         assert count_sleeps(lambda clock: self.make_fleet(clock).watch_silence()) < 5
 
-    def test_with_a_stream_it_looks_each_50_ms(self):
+    def test_with_a_stream_a_host_checks_every_50_ms(self):
         def watch(clock):
             fleet = self.make_fleet(clock)
             live = SimpleNamespace(
@@ -69,7 +68,7 @@
 
 
 class TestGate:
-    def test_it_looks_only_while_requests_wait(self):
+    def test_the_gate_checks_only_while_requests_wait(self):
         async def main() -> None:
             clock = CountingClock()
             fleet = SimpleNamespace(
@@ -89,24 +88,24 @@
             assert clock.sleeps > 10
             entering.cancel()
             await asyncio.sleep(1)
-            looks = clock.sleeps
+            sleeps = clock.sleeps
             await asyncio.sleep(SECONDS)
-            assert clock.sleeps == looks
+            assert clock.sleeps == sleeps
             running.cancel()
 
         run_virtually(main())
 
 
 class TestLinks:
-    def test_only_the_end_that_opened_a_link_asks_whether_it_lives(self):
+    def test_only_the_side_that_opened_a_link_sends_heartbeats(self):
         async def main() -> None:
             port_a, port_b, port_between = free_ports(3)
             sent_at: list[float] = []
             loop = asyncio.get_running_loop()
 
-            async def carry(reader, writer, note) -> None:
+            async def carry(reader, writer, on_data) -> None:
                 while data := await reader.read(65536):
-                    note()
+                    on_data()
                     writer.write(data)
                 writer.close()
 
@@ -138,9 +137,9 @@
             assert isinstance(asked, ConfigChanges)
             began, seconds = loop.time(), 3.5 * HEARTBEAT_MS / 1000
             await asyncio.sleep(seconds)
-            # One answer for each question of the other end, and no question.
-            heard = [at for at in sent_at if at > began]
-            assert 2 <= len(heard) <= 4
+            # One answer for each heartbeat of the other side, and no heartbeats.
+            answered_at = [at for at in sent_at if at > began]
+            assert 2 <= len(answered_at) <= 4
             await first.stop()
             await second.stop()
             between.close()
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -1,4 +1,7 @@
-"""Listening addresses are taken as soon as they are free; none ends its host."""
+"""Listening addresses are opened as soon as they are free.
+
+An address in use must not make its host exit.
+"""
 
 import asyncio
 import errno
@@ -17,12 +20,12 @@
 ADDRESS = Address(host="127.0.0.1", port=8740)
 
 
-class Door:
-    """An address that can be had from one try on.
+class BusyAddress:
+    """An address that is in use for the first attempts.
 
     Args:
         clock: The clock.
-        free_at: The number of the first try that opens it.
+        free_at: The number of the first attempt that succeeds.
     """
 
     def __init__(self, *, clock: ManualClock, free_at: int) -> None:
@@ -31,7 +34,7 @@
         self._free_at = free_at
 
     async def open(self) -> None:
-        """Open it or fail."""
+        """Open the address, or raise an OSError while it is in use."""
         self.tries.append(self._clock.monotonic().total_seconds())
         if len(self.tries) < self._free_at:
             raise OSError(errno.EADDRINUSE, "Address already in use")
@@ -48,57 +51,64 @@
     return logged
 
 
-async def open_door(free_at: int) -> tuple[Listeners, Door]:
-    """Open a door and wait until it is open."""
+async def open_address(free_at: int) -> tuple[Listeners, BusyAddress]:
+    """Open an address and wait until it is open."""
     clock = ManualClock()
-    listeners, door = Listeners(clock=clock), Door(clock=clock, free_at=free_at)
-    await listeners.open("callers", ADDRESS, door.open)
+    listeners, busy = Listeners(clock=clock), BusyAddress(clock=clock, free_at=free_at)
+    await listeners.open("callers", ADDRESS, busy.open)
     if free_at > 1:
         assert not listeners.is_open("callers")
     while not listeners.is_open("callers"):
         await asyncio.sleep(0)
-    return listeners, door
+    return listeners, busy
 
 
 class TestListeners:
     def test_a_free_address_is_open_at_once(self, events):
-        listeners, door = asyncio.run(open_door(1))
+        listeners, busy = asyncio.run(open_address(1))
         assert listeners.is_open("callers")
         assert not listeners.is_open("metrics")
-        assert len(door.tries) == 1
+        assert len(busy.tries) == 1
         assert events == []
 
-    def test_one_in_use_is_tried_until_it_is_free(self, events):
-        _, door = asyncio.run(open_door(4))
+    def test_an_address_in_use_is_retried_until_it_is_free(self, events):
+        _, busy = asyncio.run(open_address(4))
         pause = RETRY_PAUSE.total_seconds()
-        assert door.tries == pytest.approx([0, pause, 2 * pause, 3 * pause])
-        assert events == ["listen: Not open, trying again.", "listen: Open."]
+        assert busy.tries == pytest.approx([0, pause, 2 * pause, 3 * pause])
+        assert events == ["listen: Cannot listen, trying again.", "listen: Open."]
 
-    def test_one_that_stays_in_use_is_told_now_and_then(self, events):
+    def test_an_address_that_stays_in_use_is_logged_at_intervals(self, events):
         times = 3
         tries = 2 + times * (LOG_INTERVAL // RETRY_PAUSE)
-        asyncio.run(open_door(tries))
-        assert events.count("listen: Not open, trying again.") == 1 + times
+        asyncio.run(open_address(tries))
+        assert events.count("listen: Cannot listen, trying again.") == 1 + times
 
-    def test_a_stop_ends_the_tries(self, events):
+    def test_a_stop_ends_the_retries(self, events):
         async def main() -> int:
             clock = ManualClock()
-            listeners, door = Listeners(clock=clock), Door(clock=clock, free_at=1000)
-            await listeners.open("callers", ADDRESS, door.open)
+            listeners, busy = (
+                Listeners(clock=clock),
+                BusyAddress(clock=clock, free_at=1000),
+            )
+            await listeners.open("callers", ADDRESS, busy.open)
             await listeners.stop()
-            tried = len(door.tries)
+            tried = len(busy.tries)
             await asyncio.sleep(0.01)
-            assert len(door.tries) == tried
+            assert len(busy.tries) == tried
             return tried
 
         assert asyncio.run(main()) < 1000
 
 
 class TestMoves:
-    """Another address is told; the one before serves until that one does."""
+    """On a change of address, the previous one stays open until the new one is."""
 
     def play(self, *moves: tuple[str, int], free_at: int = 1):
-        """Move names to ports, in turn; return what was closed, and the listeners."""
+        """Move listeners to ports in turn.
+
+        Returns:
+            The listeners, the ports closed, and the ports opened.
+        """
         clock, closed, tries = ManualClock(), [], []
 
         async def open_port(port: int) -> None:
@@ -108,7 +118,7 @@
 
         async def main() -> Listeners:
             listeners = Listeners(
-                clock=clock, on_open=lambda *told: opened.append(told)
+                clock=clock, on_open=lambda *event: opened.append(event)
             )
             for name, port in moves:
                 address = attrs.evolve(ADDRESS, port=port)
@@ -127,12 +137,12 @@
         opened: list[tuple[str, Address]] = []
         return asyncio.run(main()), closed, [address.port for _, address in opened]
 
-    def test_the_one_before_is_let_go_once_the_next_is_open(self, events):
+    def test_the_previous_address_is_closed_once_the_new_one_is_open(self, events):
         listeners, closed, opened = self.play(("callers", 1), ("callers", 2))
         assert listeners.is_open("callers")
         assert (closed, opened) == ([1], [1, 2])
 
-    def test_a_sleep_that_ends_a_moment_early_lets_it_go_as_well(
+    def test_the_previous_address_is_closed_even_if_a_sleep_ends_early(
         self, events, monkeypatch
     ):
         sleep = ManualClock.sleep
@@ -144,33 +154,33 @@
         _, closed, _ = self.play(("callers", 1), ("callers", 2))
         assert closed == [1]
 
-    def test_back_again_it_is_not_opened_twice_and_stays(self, events):
+    def test_an_address_that_is_restored_stays_open_and_is_not_reopened(self, events):
         moves = [("callers", port) for port in (1, 2, 1)]
         listeners, closed, opened = self.play(*moves)
         assert listeners.is_open("callers")
         assert (closed, opened) == ([2], [1, 2, 1])
 
-    def test_two_names_change_places(self, events):
+    def test_two_listeners_swap_addresses(self, events):
         moves = [("callers", 1), ("metrics", 2), ("callers", 2), ("metrics", 1)]
         listeners, closed, _ = self.play(*moves)
         assert listeners.is_open("callers")
         assert listeners.is_open("metrics")
         assert sorted(closed) == [1, 2]
 
-    def test_while_the_next_is_in_use_the_one_before_stays(self, events):
+    def test_an_address_in_use_is_retried_after_a_move(self, events):
         listeners, closed, opened = self.play(("callers", 1), free_at=4)
         assert listeners.is_open("callers")
         assert (closed, opened) == ([], [1])
-        assert events == ["listen: Not open, trying again.", "listen: Open."]
+        assert events == ["listen: Cannot listen, trying again.", "listen: Open."]
 
 
 class TestServe:
-    def test_the_command_waits_for_its_addresses_too(self, tmp_path):
+    def test_the_command_retries_its_addresses_too(self, tmp_path):
         with Processes(tmp_path) as processes:
             processes.start_platform()
             processes.put_config("workspaces", "w", {"id": "w", "token_sha256": "0"})
             with (
-                # Held from the moment at which they are drawn on.
+                # Occupied from the moment that the system assigns their ports.
                 socket.create_server(("127.0.0.1", 0)) as holder,
                 socket.create_server(("127.0.0.1", 0)) as peer_holder,
             ):
--- a/tests/test_settings_changes.py
+++ b/tests/test_settings_changes.py
@@ -1,17 +1,14 @@
-"""Settings that change while a host runs: each is taken, and nothing is lost by it.
+"""Settings that change while a host runs are applied, and no request is lost.
 
-What happened: a host that was told a new value of a setting, by a whole file with or
-without a signal, or because its first file had been half written, logged `daemon:
-Settings read again.` and went on with the value of its start. With a new address for
-callers it said ready while nobody listened where callers were told to come; with a new
-address of the store it never asked there.
+These tests guard against a host that logs `daemon: Settings read again.` and keeps
+using the values of its start, whether the file was replaced with or without a signal,
+or was half written at the start. Such a host reported ready while nothing listened at
+the new address for callers, or never called the store at its new address.
 
-Why: what is read again was kept in one field that hardly anything looks at after the
-start. Each part of a host had been given its value when it was built.
-
-What showed it: each value of the file changed on its own, and looked for where it is
-used: in connections at the new address, in what other hosts are told, in calls to the
-store, in limits. Of 15 values the grace alone was taken. The log says the same for all.
+The cause: reload stored the new settings in one field, but each part of the host had
+copied its values when it was built. Of 15 values only the grace period was applied,
+and the log was the same for all. So each value is changed on its own here, and checked
+where it is used: connections at the new address, gossip, calls to the store, limits.
 """
 
 import asyncio
@@ -47,10 +44,10 @@
 from tests.test_passing_states import is_ready_within
 from tests.test_starts import REQUEST, ask, held
 
-#: The file is looked at each 5 s, and a store that is asked anew answers at once.
+#: Time limit for a change: the file is polled every 5 s, and a store answers at once.
 SECONDS_TO_TAKE = 8
 
-#: Every key of the users' page that a host reads, with another value.
+#: Every documented key of the settings file that a host reads, with another value.
 CHANGES = {
     "node_name": "front-pilar-2",
     "region": "ba-sur",
@@ -72,7 +69,7 @@
 }
 
 SEEDS = (Address(host="127.0.0.1", port=9),)
-WHOLE = """\
+SETTINGS_FILE = """\
 node_name=front-pilar-1
 region=ba-norte
 zone=pilar
@@ -100,13 +97,16 @@
 
 
 def cut_at(text: str, key: str) -> str:
-    """Return a settings file that is broken off in the value of one key."""
+    """Return a settings file that ends one character before the end of a key's value.
+
+    The line of the key is moved to the end of the file.
+    """
     value = parse_lines(text)[key]
     return replace_line(text, key, value).rstrip("\n")[:-1]
 
 
 async def until(condition, seconds: float = SECONDS_TO_TAKE) -> bool:
-    """Wait for a condition, and return whether it came true."""
+    """Wait for a condition; return False if it is not met in time."""
     try:
         async with asyncio.timeout(seconds):
             while not condition():
@@ -117,7 +117,7 @@
 
 
 async def is_open(port: int) -> bool:
-    """Return whether something listens at a port."""
+    """Return whether a port accepts connections."""
     try:
         _, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -128,11 +128,11 @@
 
 @contextlib.asynccontextmanager
 async def second_store(version: int, *, revisions: int = 1):
-    """Run another store; its configuration has one route more.
+    """Run another store with its own configuration.
 
     Args:
         version: The configuration's version.
-        revisions: How many changes it has seen.
+        revisions: The number of changes in the store's history.
     """
     store = ObjectStoreStandIn()
     for _ in range(revisions):
@@ -144,7 +144,7 @@
 
 
 async def add_hosts(system: PlatformSystem, *names: str) -> list[FrontHost]:
-    """Start a host, and others that it is the seed of."""
+    """Start a host, and others that have it as their seed."""
     system.store.put("config", "main", make_config(1))
     first = await system.add_host("front-1")
     seed = str(first.settings.peer_listen)
@@ -152,20 +152,22 @@
 
 
 class TestEverySetting:
-    def test_each_that_is_read_from_the_file_is_taken(self):
+    def test_each_setting_of_the_file_is_applied(self):
         async def test(system: PlatformSystem) -> None:
             host = await system.add_host()
-            before = translate(parse_lines(WHOLE))
-            takeable = host.reloading.appliers_by_name
+            before = translate(parse_lines(SETTINGS_FILE))
+            applicable = host.reloading.appliers_by_name
             for key, value in CHANGES.items():
-                told = translate(parse_lines(replace_line(WHOLE, key, value)))
-                changes = find_changes(before, told)
+                new = translate(parse_lines(replace_line(SETTINGS_FILE, key, value)))
+                changes = find_changes(before, new)
                 assert changes, key
-                assert not [change for change in changes if change.name not in takeable]
+                assert not [
+                    change for change in changes if change.name not in applicable
+                ]
 
         run(test)
 
-    def test_one_that_no_running_host_takes_is_told_with_what_it_was_and_is(
+    def test_a_setting_that_needs_a_restart_is_logged_with_both_values(
         self, monkeypatch
     ):
         lines = []
@@ -182,27 +184,25 @@
 
         run(test)
         assert lines[0] == (
-            "Not taken before the next start.",
+            "Takes effect at the next start.",
             {"setting": "claim_shards", "was": "8", "told": "9"},
         )
-        assert lines[1][0] == "Taken."
+        assert lines[1][0] == "Applied."
 
-    def test_one_that_can_not_be_taken_now_keeps_no_other_and_is_tried_again(
-        self, monkeypatch
-    ):
+    def test_a_change_that_fails_prevents_no_other_and_is_retried(self, monkeypatch):
         async def test(system: PlatformSystem) -> None:
             host = await system.add_host()
-            told = attrs.evolve(host.settings, seeds=SEEDS, retry_share=0.3)
+            new = attrs.evolve(host.settings, seeds=SEEDS, retry_share=0.3)
 
             def fail(seeds: object) -> None:
                 raise OSError("no descriptors")
 
             with monkeypatch.context() as patched:
                 patched.setattr(host.roster, "use_seeds", fail)
-                host.reload(told)
+                host.reload(new)
             assert (host.settings.seeds, host.settings.retry_share) == ((), 0.3)
-            host.reload(told)
-            assert host.settings == told
+            host.reload(new)
+            assert host.settings == new
             assert host.peers.find(SEEDS[0])
 
         run(test)
@@ -224,13 +224,13 @@
 
 
 class TestCutAtTheStart:
-    """A start met a half written file that is usable; then the whole file stands."""
+    """A host starts with a half-written but valid file, which is then completed."""
 
     @pytest.mark.parametrize("is_signalled", [True, False])
     @pytest.mark.parametrize(
         "key", ["listen.front", "listen.ready", "listen.control", "platform.address"]
     )
-    def test_the_whole_file_is_taken(self, tmp_path, key, is_signalled):
+    def test_the_complete_file_is_applied(self, tmp_path, key, is_signalled):
         async def main() -> None:
             async with settled(tmp_path) as place:
                 text = place.path.read_text()
@@ -250,7 +250,7 @@
 
 class TestStore:
     @pytest.mark.parametrize("is_signalled", [True, False])
-    def test_a_host_that_serves_goes_to_the_stores_new_address(
+    def test_a_serving_host_switches_to_the_stores_new_address(
         self, tmp_path, is_signalled
     ):
         async def main() -> None:
@@ -266,7 +266,7 @@
 
         asyncio.run(main())
 
-    def test_a_store_that_has_seen_less_counts_as_well(self):
+    def test_a_new_store_with_fewer_revisions_is_followed_too(self):
         async def test(system: PlatformSystem) -> None:
             for _ in range(20):
                 system.store.put("config", "main", make_config(30))
@@ -280,26 +280,26 @@
 
         run(test)
 
-    def test_what_is_known_stays_in_force_until_the_new_address_answers(self):
+    def test_the_old_state_stays_in_force_until_the_new_address_answers(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config(30))
             await system.add_runner("i-look", LOOKUPS)
             host = await system.add_host()
             await system.wait_ready()
-            told = at_store(host, free_ports(1)[0])
+            new = at_store(host, free_ports(1)[0])
             old = host.settings
-            host.reload(told)
+            host.reload(new)
             await asyncio.sleep(1)
             assert (await system.send("/look/1")).status == 200
             assert host.is_ready
-            # Back at the old address, where more has changed meanwhile.
+            # The old address again, where the configuration has changed meanwhile.
             system.store.put("config", "main", make_config(31))
             host.reload(old)
             assert await until(lambda: host.routes.current.version == 31)
 
         run(test)
 
-    def test_a_silent_store_does_not_hold_a_host_back(self):
+    def test_a_silent_store_does_not_delay_the_switch(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config(1))
             host = await system.add_host()
@@ -314,7 +314,7 @@
 
         run(test)
 
-    def test_a_stream_goes_on(self):
+    def test_a_stream_continues(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config(1))
             await system.add_runner("i-1", ENGINE, gap=0.05)
@@ -346,7 +346,7 @@
 
 
 def change(host: Running, key: str, value: str, *, is_signalled: bool = True) -> None:
-    """Write another value into a process's settings, and tell it so."""
+    """Write another value into a process's settings file, and send it SIGHUP."""
     host.path.write_text(replace_line(host.path.read_text(), key, value))
     if is_signalled:
         host.process.send_signal(signal.SIGHUP)
@@ -354,9 +354,7 @@
 
 class TestListeningAddresses:
     @pytest.mark.parametrize("is_signalled", [True, False])
-    def test_callers_are_served_where_they_are_told_to_come(
-        self, tmp_path, is_signalled
-    ):
+    def test_callers_are_served_at_the_new_address(self, tmp_path, is_signalled):
         async def main() -> None:
             async with running(tmp_path) as host:
                 await wait_ready(host)
@@ -367,12 +365,12 @@
                 await connect(port)
                 await wait_ready(host)
                 assert b"HTTP/1.1" in await ask(("127.0.0.1", port))
-                # An open connection stays, the old address for a while.
+                # Open connections stay, and the old address stays open for a while.
                 assert b"HTTP/1.1" in await ask(("127.0.0.1", host.front))
                 reader, writer = kept
                 writer.write(REQUEST)
                 assert b"HTTP/1.1" in await asyncio.wait_for(reader.readline(), 5)
-                await wait_for(host.log, "listen: Let go.")
+                await wait_for(host.log, "listen: Closed.")
                 assert not await is_open(host.front)
                 assert host.process.poll() is None
 
@@ -382,19 +380,19 @@
         async def main() -> None:
             async with running(tmp_path) as host:
                 await wait_ready(host)
-                # Held from the moment at which it is drawn on.
+                # Occupied from the moment that the system assigns the port.
                 with held(("127.0.0.1", 0)) as port:
                     change(host, "listen.front", f"127.0.0.1:{port}")
-                    await wait_for(host.log, "listen: Not open, trying again.")
+                    await wait_for(host.log, "listen: Cannot listen, trying again.")
                     assert not await is_ready(host)
-                    # Who still comes where callers were told before is served.
+                    # Callers that still use the old address are served.
                     assert b"HTTP/1.1" in await ask(("127.0.0.1", host.front))
                 await wait_ready(host)
                 assert b"HTTP/1.1" in await ask(("127.0.0.1", port))
 
         asyncio.run(main())
 
-    def test_two_addresses_may_change_places(self, tmp_path):
+    def test_two_addresses_may_be_swapped(self, tmp_path):
         async def main() -> None:
             async with running(tmp_path) as host:
                 await wait_ready(host)
@@ -408,7 +406,7 @@
 
         asyncio.run(main())
 
-    def test_an_address_that_changes_all_the_time_serves_in_the_end(self, tmp_path):
+    def test_after_many_changes_the_last_address_serves(self, tmp_path):
         async def main() -> None:
             async with running(tmp_path) as host:
                 await wait_ready(host)
@@ -420,27 +418,27 @@
                     await asyncio.sleep(0.05)
                 await wait_ready(host)
                 assert await until(
-                    lambda: messages(host.log).count("listen: Let go.") >= 2, 15
+                    lambda: messages(host.log).count("listen: Closed.") >= 2, 15
                 )
                 assert [await is_open(port) for port in ports] == [False, False, True]
 
         asyncio.run(main())
 
-    def test_the_other_hosts_hear_of_a_new_address(self, monkeypatch):
-        monkeypatch.setattr(listeners, "LET_GO_AFTER", timedelta(seconds=1.5))
+    def test_the_other_hosts_learn_a_new_address(self, monkeypatch):
+        monkeypatch.setattr(listeners, "CLOSE_DELAY", timedelta(seconds=1.5))
 
         async def test(system: PlatformSystem) -> None:
             first, second, third = await add_hosts(system, "front-2", "front-3")
             await system.wait_ready(0)
             assert await until(lambda: len(third.peers.ids) == 2)
             before = first.settings.peer_listen
-            told = attrs.evolve(before, port=free_ports(1)[0])
-            first.reload(attrs.evolve(first.settings, peer_listen=told))
+            new = attrs.evolve(before, port=free_ports(1)[0])
+            first.reload(attrs.evolve(first.settings, peer_listen=new))
             for host in (second, third):
-                assert await until(lambda host=host: host.peers.find(told))
+                assert await until(lambda host=host: host.peers.find(new))
                 assert not host.peers.find(before)
             assert await until(lambda: not before_is_open(first, before))
-            # No host was held for gone on the way.
+            # No host was considered dead in between.
             await asyncio.sleep(2)
             for host in system.hosts:
                 states = [row.state for row in host.roster.others()]
@@ -453,7 +451,7 @@
 
 
 class TestName:
-    def test_the_other_hosts_know_it_under_its_new_name_alone(self):
+    def test_the_other_hosts_know_a_host_by_its_new_name_only(self):
         async def test(system: PlatformSystem) -> None:
             first, second = await add_hosts(system, "front-2")
             assert await until(lambda: second.peers.ids == ["front-1"])
@@ -461,7 +459,7 @@
             assert await until(lambda: second.peers.ids == ["front-9"])
             assert [row.host_id for row in second.roster.others()] == ["front-9"]
             assert [row.host_id for row in first.roster.others()] == ["front-2"]
-            # And back.
+            # The old name again.
             first.reload(attrs.evolve(first.settings, host_id="front-1"))
             assert await until(lambda: second.peers.ids == ["front-1"])
             assert await until(
@@ -470,8 +468,8 @@
 
         run(test)
 
-    def test_two_hosts_that_had_one_name_are_told_apart(self):
-        """A name that is broken off may be another host's."""
+    def test_two_hosts_that_shared_a_name_are_told_apart(self):
+        """A half-written file may cut a host's name to that of another host."""
 
         async def test(system: PlatformSystem) -> None:
             _, second, third = await add_hosts(system, "front-1", "front-3")
@@ -491,7 +489,7 @@
 
 
 class TestFailureDomain:
-    def test_it_counts_in_choices_and_among_the_hosts(self):
+    def test_it_changes_placement_and_reaches_the_other_hosts(self):
         async def test(system: PlatformSystem) -> None:
             near = await system.add_runner("i-near", LOOKUPS, zone="pilar")
             far = await system.add_runner("i-far", LOOKUPS, zone="tigre")
@@ -514,7 +512,7 @@
 
 
 class TestSeeds:
-    def test_a_host_meets_those_that_it_is_told_later(self):
+    def test_a_host_links_to_seeds_that_are_set_later(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config(1))
             first = await system.add_host("front-1")
@@ -530,7 +528,7 @@
 
 
 class TestKeys:
-    def test_hosts_that_are_told_one_after_the_other_hear_each_other(self):
+    def test_hosts_that_change_keys_one_after_the_other_stay_linked(self):
         async def test(system: PlatformSystem) -> None:
             first, second = await add_hosts(system, "front-2")
             assert await until(lambda: first.peers.ids and second.peers.ids)
@@ -545,7 +543,7 @@
 
         run(test)
 
-    def test_the_key_before_is_dropped_after_a_while(self, monkeypatch):
+    def test_the_previous_key_is_dropped_after_the_overlap(self, monkeypatch):
         monkeypatch.setattr(
             "passtally.host_reload.KEY_OVERLAP", timedelta(milliseconds=300)
         )
@@ -563,39 +561,39 @@
 
 
 class TestBudgets:
-    def test_what_was_spent_stays_spent(self):
+    def test_spent_retries_stay_spent(self):
         async def test(system: PlatformSystem) -> None:
-            # A host counts on at least eight that share the extra repeats.
+            # The extra retries are divided by at least eight hosts.
             host = await system.add_host(budget_extra="80", retry_budget_ratio="0")
-            assert count_repeats(host.budgets) == 10
-            told = attrs.evolve(host.settings, retry_extra=160.0)
-            host.reload(told)
-            assert count_repeats(host.budgets) == 10
+            assert count_retries(host.budgets) == 10
+            new = attrs.evolve(host.settings, retry_extra=160.0)
+            host.reload(new)
+            assert count_retries(host.budgets) == 10
             for extra in (80.0, 160.0) * 3:
-                host.reload(attrs.evolve(told, retry_extra=extra))
-                assert count_repeats(host.budgets) == 0
+                host.reload(attrs.evolve(new, retry_extra=extra))
+                assert count_retries(host.budgets) == 0
 
         run(test)
 
-    def test_share_and_window_count_from_now_on(self):
+    def test_a_new_share_and_window_apply_at_once(self):
         async def test(system: PlatformSystem) -> None:
             host = await system.add_host(budget_extra="0", retry_budget_ratio="0.5")
             for _ in range(20):
                 host.budgets.earn("", service="s")
-            told = attrs.evolve(host.settings, retry_share=0.1)
-            host.reload(told)
-            assert count_repeats(host.budgets) == 2
+            new = attrs.evolve(host.settings, retry_share=0.1)
+            host.reload(new)
+            assert count_retries(host.budgets) == 2
             await asyncio.sleep(0.05)
             window = timedelta(milliseconds=20)
-            host.reload(attrs.evolve(told, retry_window=window, retry_share=0.5))
-            # What came before the window earns nothing any more.
-            assert count_repeats(host.budgets) == 0
+            host.reload(attrs.evolve(new, retry_window=window, retry_share=0.5))
+            # Requests before the window earn no retries any more.
+            assert count_retries(host.budgets) == 0
 
         run(test)
 
 
-def count_repeats(budgets) -> int:
-    """Spend all that is left for a service, and return how much it was."""
+def count_retries(budgets) -> int:
+    """Spend all retries left for a service, and return their number."""
     count = 0
     while budgets.try_resume("", service="s"):
         count += 1
@@ -603,7 +601,7 @@
 
 
 class TestTimes:
-    def test_a_stop_takes_the_grace_that_is_told(self):
+    def test_a_stop_uses_the_new_grace_period(self):
         async def test(system: PlatformSystem) -> None:
             await system.add_runner("i-1", ENGINE, gap=0.05, events=100)
             system.store.put("config", "main", make_config(1))
@@ -618,7 +616,7 @@
 
         run(test)
 
-    def test_watches_wait_for_as_long_as_a_change_may_take(self):
+    def test_watches_follow_the_time_limit_for_a_change(self):
         async def test(system: PlatformSystem) -> None:
             host = await system.add_host()
             within = timedelta(seconds=1)
@@ -631,7 +629,7 @@
 
 
 class TestTrials:
-    def test_orders_of_new_versions_are_followed_from_then_on_and_no_more(self):
+    def test_following_orders_of_new_versions_starts_and_stops(self):
         async def test(system: PlatformSystem) -> None:
             system.store.put("config", "main", make_config(1))
             await system.add_runner("i-1", ENGINE)
@@ -655,7 +653,7 @@
 
 
 class TestFile:
-    def test_one_that_can_not_be_used_changes_nothing(self, tmp_path):
+    def test_an_invalid_file_changes_nothing(self, tmp_path):
         async def main() -> None:
             async with running(tmp_path) as host:
                 await wait_ready(host)
@@ -674,29 +672,29 @@
                 host.path.write_text(text)
                 host.process.send_signal(signal.SIGHUP)
                 await wait_for(host.log, "daemon: Settings read again.")
-                assert "settings: Taken." not in messages(host.log)
+                assert "settings: Applied." not in messages(host.log)
 
         asyncio.run(main())
 
-    def test_one_that_is_being_written_is_taken_when_it_is_whole(self, tmp_path):
+    def test_a_file_being_written_is_applied_when_it_is_complete(self, tmp_path):
         async def main() -> None:
             async with running(tmp_path) as host:
                 await wait_ready(host)
                 text = host.path.read_text()
                 port, *_ = free_ports(1)
-                whole = replace_line(text, "listen.front", f"127.0.0.1:{port}")
-                # Each part of it is usable, and tells another address.
-                for size in range(len(whole) - 3, len(whole) + 1):
-                    host.path.write_text(whole[:size])
+                complete = replace_line(text, "listen.front", f"127.0.0.1:{port}")
+                # Each prefix of the file is valid, and has another address.
+                for size in range(len(complete) - 3, len(complete) + 1):
+                    host.path.write_text(complete[:size])
                     host.process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.03)
                 await connect(port)
                 await wait_ready(host)
-                assert messages(host.log).count("settings: Taken.") == 1
+                assert messages(host.log).count("settings: Applied.") == 1
 
         asyncio.run(main())
 
-    def test_changes_beside_a_stop_do_not_hold_it_up(self, tmp_path):
+    def test_changes_during_a_stop_do_not_delay_it(self, tmp_path):
         async def main() -> None:
             async with running(tmp_path) as host:
                 await wait_ready(host)
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,25 +1,20 @@
-"""Starts that meet trouble: an address in use, a stop, no standard output.
-
-What was seen: on a few runs as real processes the system did not start, or its
-processes ended by themselves, and once too little was served. In series of starts of
-our own, 2 of 22 runs had a host that ended with a traceback, `Address already in use`.
-
-How it came about: another socket had one of a host's addresses when it started: an
-older process that had not quite ended, a connection that was given the port as its own,
-a second installation on the machine. The port of the metrics is the same for all hosts,
-so that of six hosts that share an address five ended, each time, and all six where that
-port is one that they are told for something else.
-
-The cause: a host took each listening address in one try, and the first that failed, be
-it only that of the metrics, ended the whole process. The same class, a passing state of
-the machine at the start that is final for the process: a stop that came while the
-program was loading ended it by the signal, with callers' connections waiting; a
-standard output that was closed ended it at once, and one whose reader had gone made its
-planned stop look like a failure.
-
-What proved it: each address held by another socket for the first seconds of a host's
-life, with nothing else changed; each of the four ended it, and the log names the one.
-Six hosts on one address: one of six ready, on this and three earlier landings.
+"""Temporary problems during a host's start must not make its process exit.
+
+These tests guard against the following failures:
+
+- A host opened each listening address in a single attempt and exited at the first
+  failure, even of the metrics address: in 2 of 22 test runs a host exited with
+  `Address already in use`. An address may be in use by an older process that is still
+  exiting, by a connection with that local port, or by a second installation. The
+  metrics port is the same for all hosts: of six hosts that share an IP address, five
+  exited, and all six if another setting used that port.
+- A stop signal that arrived while the program was loading killed the process and reset
+  callers' waiting connections.
+- A closed standard output made the process exit at once, and one whose reader had gone
+  made a planned stop look like a failure.
+
+To reproduce an address in use, another socket occupies one of the host's four addresses
+for the first seconds of the host's life; each of the four made the host exit.
 """
 
 import asyncio
@@ -49,13 +44,13 @@
 
 @contextlib.contextmanager
 def held(address: tuple[str, int]) -> Iterator[int]:
-    """Hold an address, as another process that listens there does; yield its port."""
+    """Occupy an address by listening there; yield its port."""
     with socket.create_server(address) as holder:
         yield holder.getsockname()[1]
 
 
 async def ask(address: tuple[str, int], request: bytes = REQUEST) -> bytes:
-    """Send a request to an address and return the first line of what comes."""
+    """Send a request to an address and return the first line of the answer."""
     host, port = address
     reader, writer = await connect(port, host)
     try:
@@ -67,14 +62,14 @@
 
 class TestAddressInUse:
     @pytest.mark.parametrize("name", ADDRESS_NAMES)
-    def test_a_host_waits_for_its_address_and_serves_then(self, tmp_path, name):
+    def test_a_host_waits_for_its_address_and_then_serves(self, tmp_path, name):
         async def main() -> None:
             async with settled(tmp_path) as place:
                 holding = contextlib.ExitStack()
                 holding.enter_context(held(place.addresses_by_name[name]))
                 async with started(place) as host:
                     with holding:
-                        await wait_for(host.log, "listen: Not open, trying again.")
+                        await wait_for(host.log, "listen: Cannot listen, trying again.")
                     await wait_for(host.log, "listen: Open.")
                     await wait_ready(host)
                     assert b"HTTP/1.1" in await ask(("127.0.0.1", host.front))
@@ -87,7 +82,7 @@
 
         asyncio.run(main())
 
-    def test_a_host_whose_metrics_find_no_place_serves(self, tmp_path):
+    def test_a_host_without_its_metrics_address_serves(self, tmp_path):
         async def main() -> None:
             async with settled(tmp_path) as place:
                 with held(place.addresses_by_name["metrics"]):
@@ -97,13 +92,13 @@
 
         asyncio.run(main())
 
-    def test_the_port_of_the_metrics_may_be_one_that_the_host_is_told(self, tmp_path):
+    def test_another_setting_may_use_the_metrics_port(self, tmp_path):
         async def main() -> None:
             async with settled(tmp_path) as place:
-                told = place.path.read_text()
+                text = place.path.read_text()
                 own = f"listen.ready=127.0.0.1:{place.ready}"
                 place.path.write_text(
-                    told.replace(own, f"listen.ready={place.ip}:{METRICS_PORT}")
+                    text.replace(own, f"listen.ready={place.ip}:{METRICS_PORT}")
                 )
                 async with started(place) as host:
                     await wait_for(host.log, "config: In force.")
@@ -127,7 +122,7 @@
 
         asyncio.run(main())
 
-    def test_a_host_that_callers_cant_reach_is_not_ready(self, tmp_path):
+    def test_a_host_without_its_address_for_callers_is_not_ready(self, tmp_path):
         async def main() -> None:
             async with settled(tmp_path) as place:
                 with held(place.addresses_by_name["callers"]):
@@ -140,13 +135,13 @@
 
 class TestSettingsBeingWritten:
     @pytest.mark.parametrize("part", [0.0, 0.5])
-    def test_a_host_waits_until_they_are_whole(self, tmp_path, part):
+    def test_a_host_waits_until_the_file_is_complete(self, tmp_path, part):
         async def main() -> None:
             async with settled(tmp_path) as place:
                 text = place.path.read_text()
                 place.path.write_text(text[: int(part * len(text))])
                 async with started(place) as host:
-                    # Long enough for the first look, which comes after 0.3 s.
+                    # Long enough for the first read of the file, after 0.3 s.
                     await asyncio.sleep(0.8)
                     assert host.process.poll() is None
                     place.path.write_text(text)
@@ -158,13 +153,13 @@
 
 class TestStopWhileLoading:
     @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-    def test_it_stops_as_planned_and_answers_who_waits(self, tmp_path, number):
+    def test_a_host_stops_cleanly_and_answers_waiting_callers(self, tmp_path, number):
         async def main() -> None:
             async with running(tmp_path) as host:
                 reader, writer = await connect(host.front)
                 writer.write(REQUEST)
                 host.process.send_signal(number)
-                # What comes before the first line of the log came while it loaded.
+                # Nothing is logged yet, so the signal arrived during loading.
                 assert not messages(host.log)
                 assert b"HTTP/1.1" in await asyncio.wait_for(reader.readline(), 10)
                 writer.close()
@@ -176,7 +171,7 @@
 
 
 class TestStandardStreams:
-    def test_a_host_without_them_serves_and_stops(self, tmp_path):
+    def test_a_host_without_standard_streams_serves_and_stops(self, tmp_path):
         def close_all() -> None:
             for number in (0, 1, 2):
                 os.close(number)
@@ -191,7 +186,7 @@
         asyncio.run(main())
 
     @pytest.mark.parametrize("numbers", [(1,), (1, 2)])
-    def test_a_log_whose_reader_is_gone_does_not_spoil_a_stop(self, tmp_path, numbers):
+    def test_a_log_without_a_reader_does_not_make_a_stop_fail(self, tmp_path, numbers):
         def lose_reader() -> None:
             reader, writer = os.pipe()
             os.close(reader)
--- a/tests/test_stop_signals.py
+++ b/tests/test_stop_signals.py
@@ -1,4 +1,7 @@
-"""No stop is lost between a process's first lines and its last."""
+"""No stop signal is lost or fatal from the start of a process to its exit.
+
+A signal may arrive before the event loop runs, or after the host has stopped.
+"""
 
 import asyncio
 import os
@@ -13,7 +16,7 @@
 
 @pytest.fixture(autouse=True)
 def handlers() -> Iterator[None]:
-    """Put the test process's own handlers back."""
+    """Restore the test process's own signal handlers."""
     numbers = (*NUMBERS, signal.SIGHUP)
     before = {number: signal.getsignal(number) for number in numbers}
     yield
@@ -36,7 +39,7 @@
         asyncio.run(main())
         assert signals.waited() > timedelta(0)
 
-    def test_a_stop_of_a_running_loop_has_waited_for_no_time(self, number):
+    def test_a_stop_of_a_running_loop_has_no_waiting_time(self, number):
         signals = StopSignals()
         signals.catch()
 
@@ -50,7 +53,7 @@
         asyncio.run(main())
         assert signals.waited() == timedelta(0)
 
-    def test_a_stop_of_a_host_that_has_stopped_changes_nothing(self, number):
+    def test_a_stop_after_the_host_has_stopped_is_ignored(self, number):
         signals = StopSignals()
         signals.catch()
 
