--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: measured on this machine, judged by ratios taken in one run."""
+"""Benchmarks on the local machine; costs are compared as ratios within one run."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run benchmarks: ``python -m bench [NAME ...]``."""
+"""Command line of the benchmarks: ``python -m bench [NAME ...]``."""
 
 import importlib
 import sys
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Run, print, write, and fail where a bound is broken."""
+    """Run benchmarks, print and save the figures; exit 1 if a bound is exceeded."""
     broken = []
     for name in sys.argv[1:] or NAMES:
         figures = importlib.import_module(f"bench.{name}").run()
--- a/bench/catalog.py
+++ b/bench/catalog.py
@@ -1,4 +1,4 @@
-"""Memory and time of what each host keeps, against the number of objects."""
+"""Memory and time of each host's catalog and claim log, per stored object."""
 
 import time
 import tracemalloc
@@ -28,7 +28,7 @@
 
 
 def run() -> list[Figure]:
-    """Measure the slopes."""
+    """Measure memory per object and the time of changes, loading and routing."""
     kb = 1 / 1024
     workspace_bytes = _slope(WORKSPACES, _make_workspaces)
     endpoint_bytes = _slope(ENDPOINTS, _make_endpoints)
@@ -46,14 +46,14 @@
 
 
 def _slope(counts: tuple[int, int], make: Callable[[int], object]) -> float:
-    """Return the bytes an object, between two counts."""
+    """Return the memory per object, in bytes, as the slope between two counts."""
     sizes = []
     for count in counts:
         tracemalloc.start()
-        kept = make(count)
+        measured = make(count)
         sizes.append(tracemalloc.get_traced_memory()[0])
         tracemalloc.stop()
-        del kept
+        del measured
     return (sizes[1] - sizes[0]) / (counts[1] - counts[0])
 
 
@@ -118,7 +118,7 @@
 
 
 def _time_change() -> float:
-    """Return the seconds that one change takes at 11,000 workspaces."""
+    """Return the time to apply one change at 11,000 workspaces, in seconds."""
     catalog = _make_workspaces(WORKSPACES[1])
     started = time.perf_counter()
     for number in range(LOOPS):
@@ -137,7 +137,7 @@
 
 
 def _time_route(count: int) -> float:
-    """Return the seconds that one decision takes over so many endpoints."""
+    """Return the time of one routing decision among ``count`` endpoints, in seconds."""
     views = [
         EndpointView(
             id=f"runner-{number}",
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,4 +1,4 @@
-"""Claim writes against requests, in virtual time, up to the target's rate."""
+"""Store writes and latency of claims in virtual time, up to the target rate."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 class SlowPlatform(FakePlatform):
-    """The object API in memory, at the platform's usual latency."""
+    """In-memory object API with the platform's typical latency per call."""
 
     def __init__(self, *, clock: Clock) -> None:
         super().__init__()
@@ -36,11 +36,11 @@
 class _Run:
     latencies: list[float] = attrs.field(factory=list)
     writes: int = 0
-    longest_bytes: int = 0
+    max_segment_bytes: int = 0
 
 
 def run() -> list[Figure]:
-    """Measure each rate."""
+    """Measure claims at each request rate."""
     figures = []
     for rate in RATES:
         result = run_virtually(_run_rate(rate))
@@ -54,7 +54,7 @@
             figure("writes_a_claim", writes / rate, "1"),
             figure("latency_p50", percentile(result.latencies, 0.5) * 1000, "ms"),
             figure("latency_p95", percentile(result.latencies, 0.95) * 1000, "ms"),
-            figure("segment_max", result.longest_bytes, "bytes"),
+            figure("segment_max", result.max_segment_bytes, "bytes"),
         ]
     return figures
 
@@ -75,7 +75,7 @@
     await asyncio.gather(*tasks)
     result.writes = sum(writer.write_count for writer in writers)
     values = platform.objects_by_key.values()
-    result.longest_bytes = max(len(bytes(stored.value)) for stored in values)
+    result.max_segment_bytes = max(len(bytes(stored.value)) for stored in values)
     return result
 
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""What control costs: hosts at rest, changes coming into force, take-over."""
+"""Cost of the control plane: idle hosts, configuration changes and take-over."""
 
 import tempfile
 import time
@@ -10,17 +10,17 @@
 from standins.processes import OPERATOR_TOKEN, Processes, call_json
 
 HOST_COUNTS = (3, 9, 18)
-REST_SECONDS = 10
+IDLE_SECONDS = 10
 CHANGES = 15
 SLOW_LATENCY = 0.2
-AWAY_SECONDS = 3.0
-PATIENCE_SECONDS = 40
+OUTAGE_SECONDS = 3.0
+WAIT_TIMEOUT_SECONDS = 40
 DOMAINS = ("pilar", "tigre", "escobar")
 HEADERS = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
 
 
 def run() -> list[Figure]:
-    """Measure each number of hosts."""
+    """Measure idle cost at each host count, and changes at the middle one."""
     figures = []
     for count in HOST_COUNTS:
         with (
@@ -28,7 +28,7 @@
             Processes(Path(folder)) as processes,
         ):
             names = _start(processes, count)
-            figures += _measure_rest(processes, names, count)
+            figures += _measure_idle(processes, names, count)
             if count == HOST_COUNTS[1]:
                 figures += _measure_changes(processes, names)
                 figures += _measure_drain(processes, names)
@@ -54,8 +54,8 @@
     return call_json("GET", f"{url}/operator/v1/status", headers=HEADERS)
 
 
-def _measure_rest(processes: Processes, names: list[str], count: int) -> list[Figure]:
-    """Return what hosts without requests spend."""
+def _measure_idle(processes: Processes, names: list[str], count: int) -> list[Figure]:
+    """Return the CPU, traffic, platform calls and memory of hosts without requests."""
     pids = [processes.by_name[name].popen.pid for name in names]
     platform = processes.platform
 
@@ -65,10 +65,10 @@
         return cpu, sent, sum(platform.counts()["calls"].values())
 
     before = read()
-    time.sleep(REST_SECONDS)
+    time.sleep(IDLE_SECONDS)
     after = read()
     cpu, sent, calls = (
-        (late - early) / REST_SECONDS / count
+        (late - early) / IDLE_SECONDS / count
         for early, late in zip(before, after, strict=True)
     )
     memory = sum(memory_mb(pid) for pid in pids) / count
@@ -82,20 +82,23 @@
 
 
 def _measure_changes(processes: Processes, names: list[str]) -> list[Figure]:
-    """Return how long a change takes until it is in force on each host."""
+    """Return the time until a change is active on each host.
+
+    The platform is healthy, slow, or has just recovered from an outage.
+    """
     platform = processes.platform
-    well = [_time_change(processes, names, n) for n in range(CHANGES)]
+    healthy = [_time_change(processes, names, n) for n in range(CHANGES)]
     platform.control(latency=SLOW_LATENCY)
     slow = [_time_change(processes, names, 100 + n) for n in range(CHANGES // 3)]
     platform.control()
-    away = [_time_after_outage(processes, names)]
+    recovered = [_time_after_outage(processes, names)]
     figures = []
-    for state, times in (("well", well), ("slow", slow), ("back", away)):
-        flat = [value for row in times for value in row]
+    for state, times in (("well", healthy), ("slow", slow), ("back", recovered)):
+        all_times = [value for row in times for value in row]
         for part, value in (
-            ("p50", percentile(flat, 0.5)),
-            ("p95", percentile(flat, 0.95)),
-            ("max", max(flat)),
+            ("p50", percentile(all_times, 0.5)),
+            ("p95", percentile(all_times, 0.95)),
+            ("max", max(all_times)),
         ):
             name = f"control.change_{state}.{part}"
             figures.append(Figure(name=name, value=value, unit="s"))
@@ -115,9 +118,9 @@
 
 
 def _time_after_outage(processes: Processes, names: list[str]) -> list[float]:
-    """Return how long a change made just after an outage takes."""
+    """Return the time per host to apply a change that is made after an outage."""
     processes.platform.control(outage=True)
-    time.sleep(AWAY_SECONDS)
+    time.sleep(OUTAGE_SECONDS)
     processes.platform.control()
     return _time_change(processes, names, 999)
 
@@ -126,21 +129,21 @@
     processes: Processes, names: list[str], version: int
 ) -> list[float]:
     started = time.monotonic()
-    open_names = list(names)
+    pending_names = list(names)
     times = []
-    while open_names:
-        for name in list(open_names):
+    while pending_names:
+        for name in list(pending_names):
             state = call_json("GET", f"{processes.by_name[name].url}/readyz")
             if state["config_version"] >= version:
-                open_names.remove(name)
+                pending_names.remove(name)
                 times.append(time.monotonic() - started)
-        if time.monotonic() - started > PATIENCE_SECONDS:
-            raise RuntimeError(f"{open_names} lack version {version}")
+        if time.monotonic() - started > WAIT_TIMEOUT_SECONDS:
+            raise RuntimeError(f"hosts {pending_names} did not reach version {version}")
     return times
 
 
 def _measure_drain(processes: Processes, names: list[str]) -> list[Figure]:
-    """Return how long after its confirmation a drain is in force everywhere."""
+    """Return the time from the confirmation of a drain until all hosts apply it."""
     plan = _declare(processes, names[0], "drain", endpoints="runner-pilar")
     started = time.monotonic()
     _confirm(processes, names[0], plan)
@@ -162,14 +165,14 @@
 
 
 def _measure_take_over(processes: Processes, names: list[str]) -> list[Figure]:
-    """Return how long after its holder's death an intent goes on."""
+    """Return the time from the death of an intent's holder to its take-over."""
     processes.by_name["runner-tigre"].kill()
     plan = _declare(processes, names[0], "load", endpoints="runner-tigre", version="9")
     _confirm(processes, names[0], plan)
 
     def read() -> dict:
-        living = next(n for n in names if processes.by_name[n].popen.poll() is None)
-        url = processes.by_name[living].url
+        alive = next(n for n in names if processes.by_name[n].popen.poll() is None)
+        url = processes.by_name[alive].url
         return call_json("GET", f"{url}/operator/v1/intents/{plan}", headers=HEADERS)
 
     _wait(lambda: read()["holder"] != "")
@@ -199,8 +202,8 @@
 
 
 def _wait(condition: Callable[[], bool]) -> None:
-    deadline = time.monotonic() + PATIENCE_SECONDS
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not condition():
         if time.monotonic() > deadline:
-            raise RuntimeError("the condition did not come true")
+            raise RuntimeError(f"condition not met within {WAIT_TIMEOUT_SECONDS} s")
         time.sleep(0.02)
--- a/bench/forward.py
+++ b/bench/forward.py
@@ -1,4 +1,4 @@
-"""Processor time for a forwarded token, against a bare relay in the same run."""
+"""CPU time per forwarded token, compared with a plain relay in the same run."""
 
 import asyncio
 import sys
@@ -21,12 +21,13 @@
 
 @attrs.frozen(kw_only=True)
 class _Cost:
-    """What one process spends, split by two lengths of answers.
+    """Cost of one process, derived from runs with short and with long answers.
 
     Attributes:
-        token_us: Microseconds a token, the slope between the two lengths.
-        request_us: Microseconds a request besides its tokens.
-        event_bytes: Bytes to the caller an event.
+        token_us: CPU time per token, in microseconds: the slope between the two
+            answer lengths.
+        request_us: CPU time per request without its tokens, in microseconds.
+        event_bytes: Bytes sent to the caller per event.
     """
 
     token_us: float
@@ -35,7 +36,7 @@
 
 
 def run() -> list[Figure]:
-    """Measure the daemon without and with copies, and the relay."""
+    """Measure the daemon without and with copies of runs, and the relay."""
     with tempfile.TemporaryDirectory() as folder, Processes(Path(folder)) as processes:
         token = _start(processes)
         relay = processes.by_name["relay"]
@@ -117,8 +118,8 @@
 ) -> _Cost:
     def run_once(tokens: int) -> tuple[float, LoadResult]:
         before = cpu_seconds(process.popen.pid)
-        wanted = body | {"max_tokens": tokens}
-        work = run_streams(process.url + path, wanted, STREAMS, headers=headers)
+        limited_body = body | {"max_tokens": tokens}
+        work = run_streams(process.url + path, limited_body, STREAMS, headers=headers)
         result = asyncio.run(work)
         if result.failures:
             raise RuntimeError(f"{result.failures} streams failed at {process.name}")
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Puts streams on a host and counts what comes, as cheaply as it can."""
+"""Load generator with a low overhead: opens streams and counts events and bytes."""
 
 import asyncio
 import os
@@ -8,18 +8,18 @@
 import attrs
 import msgspec
 
-TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 @attrs.define
 class LoadResult:
-    """What a load did.
+    """Totals over all streams of one load.
 
     Attributes:
-        events: Events received.
-        wire_bytes: Bytes received.
-        seconds: How long it took.
-        failures: Streams that did not end well.
+        events: Number of events received.
+        wire_bytes: Number of body bytes received.
+        seconds: Duration of the load, in seconds.
+        failures: Number of streams without ``[DONE]`` in their last chunk.
     """
 
     events: int = 0
@@ -31,13 +31,13 @@
 async def run_streams(
     url: str, body: dict, count: int, *, headers: dict[str, str] | None = None
 ) -> LoadResult:
-    """Run streams side by side and count their events.
+    """Run streams concurrently and count their events.
 
     Args:
-        url: Where to post.
-        body: What to post.
-        count: How many at once.
-        headers: Headers to send.
+        url: URL that receives the POST requests.
+        body: JSON body of each request.
+        count: Number of concurrent streams.
+        headers: Additional request headers.
     """
     result = LoadResult()
     data = msgspec.json.encode(body)
@@ -63,9 +63,9 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time a process has used."""
+    """Return the user and system CPU time of a process, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS_A_SECOND
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def memory_mb(pid: int) -> float:
@@ -73,4 +73,4 @@
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
-    raise ValueError(f"no resident memory for {pid}")
+    raise ValueError(f"/proc/{pid}/status has no VmRSS line")
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,10 +1,10 @@
-"""Tells which requests of a played day were late or lost, when, where and why.
+"""Lists the late and lost requests of a simulated day with time, host and cause.
 
     python -m bench.losses LOG [REPORT] [--json]
 
-LOG holds lines ``SECONDS HOST {JSON}``, the hosts' own log lines with the time of the
-day before them; other lines are passed over. REPORT is the day's report as JSON, whose
-list of events tells the faults.
+LOG has lines ``SECONDS HOST {JSON}``: log lines of the hosts, prefixed with the seconds
+since the start of the day and the host. Other lines are ignored. REPORT is the day's
+report as JSON; its list of events names the faults.
 """
 
 import json
@@ -16,10 +16,11 @@
 import attrs
 import click
 
-#: A caller's limits where none are given: the sheet of the deployment that was played.
+#: Default limits of callers on the first output and on pauses, in milliseconds, as in
+#: the requirements of the simulated deployment.
 FIRST_MS = 4_500.0
 PAUSE_MS = 700.0
-#: Requests are gathered by moments of this length.
+#: Length of the time windows by which the table groups requests.
 WINDOW_SECONDS = 2.0
 
 _LINE = re.compile(r"\s*(-?[\d.]+) (\S+) (\{.*\})\s*$")
@@ -34,9 +35,9 @@
     """One log line of a host.
 
     Attributes:
-        at: When, in seconds of the day.
-        host: The host.
-        fields: What it says.
+        at: Time of the line, in seconds since the start of the day.
+        host: Id of the host.
+        fields: Fields of the log message.
     """
 
     at: float
@@ -46,16 +47,19 @@
 
 @attrs.frozen(kw_only=True)
 class Loss:
-    """One request that was late or lost.
+    """Request that was late or lost.
 
     Attributes:
-        request: Its id.
-        window: The moment at which it began, in seconds of the day.
-        host: The host that took it.
-        endpoint: The last endpoint that it was sent to, or empty.
-        phase: How far it had come: ``gate``, ``placed``, ``read`` or ``resume``.
-        cause: Why it was late or lost.
-        faults: The faults that were under way while it was open.
+        request: Request id.
+        window: Start of the time window in which the request began, in seconds
+            since the start of the day.
+        host: Host that received the request.
+        endpoint: Last endpoint that the request was sent to, or empty.
+        phase: Progress of the request: ``gate`` (not placed), ``placed`` (sent to
+            an endpoint), ``read`` (lost before its first output) or ``resume``
+            (placed or lost after its first output).
+        cause: Reason why the request was late or lost.
+        faults: Kinds of the faults that were active while the request was open.
     """
 
     request: str
@@ -69,7 +73,7 @@
 
 @attrs.frozen(kw_only=True)
 class Fault:
-    """One fault of the day."""
+    """Fault during the day, from ``begin`` to ``end`` in seconds since its start."""
 
     kind: str
     begin: float
@@ -77,7 +81,7 @@
 
 
 def read_log(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the hosts' log lines; what is no such line is passed over."""
+    """Yield the log lines of the hosts; lines in any other format are ignored."""
     for line in lines:
         found = _LINE.match(line)
         if found is None:
@@ -90,7 +94,7 @@
 
 
 def read_faults(report: dict) -> list[Fault]:
-    """Return the faults that a day's report names."""
+    """Return the faults listed in the report of a day."""
     return [
         Fault(kind=row["kind"], begin=row["at_s"], end=row["to_s"])
         for row in report.get("events", ())
@@ -104,13 +108,13 @@
     first_ms: float = FIRST_MS,
     pause_ms: float = PAUSE_MS,
 ) -> list[Loss]:
-    """Return the requests that were late or lost, in the order in which they began.
+    """Return the requests that were late or lost, ordered by time window.
 
     Args:
-        lines: The hosts' log lines.
-        faults: The faults of the day.
-        first_ms: Within what time the first output is to come.
-        pause_ms: The longest pause that callers allow.
+        lines: Log lines of all hosts.
+        faults: Faults of the day.
+        first_ms: Maximum time to the first output, in milliseconds.
+        pause_ms: Maximum pause between two outputs, in milliseconds.
     """
     lines_by_request: dict[str, list[LogLine]] = {}
     for line in lines:
@@ -118,16 +122,18 @@
         if request:
             lines_by_request.setdefault(request, []).append(line)
     losses = []
-    for request, story in lines_by_request.items():
-        cause = _find_cause(story, first_ms, pause_ms)
+    for request, request_lines in lines_by_request.items():
+        cause = _find_cause(request_lines, first_ms, pause_ms)
         if cause:
-            losses.append(_describe(request, story, cause, faults))
+            losses.append(_describe(request, request_lines, cause, faults))
     return sorted(losses, key=lambda loss: loss.window)
 
 
-def _find_cause(story: Sequence[LogLine], first_ms: float, pause_ms: float) -> str:
-    """Return why a request was late or lost; empty for one in time."""
-    ends = [line.fields for line in story if "result" in line.fields]
+def _find_cause(
+    request_lines: Sequence[LogLine], first_ms: float, pause_ms: float
+) -> str:
+    """Return why a request was late or lost; empty if it met its limits."""
+    ends = [line.fields for line in request_lines if "result" in line.fields]
     if not ends:
         return "no end: its host was lost"
     result = str(ends[-1]["result"])
@@ -142,10 +148,10 @@
 
 
 def _describe(
-    request: str, story: Sequence[LogLine], cause: str, faults: Sequence[Fault]
+    request: str, request_lines: Sequence[LogLine], cause: str, faults: Sequence[Fault]
 ) -> Loss:
-    begin, end = story[0].at, story[-1].at
-    choices = [line.fields for line in story if _kind(line) in (_ROUTE, _RETRY)]
+    begin, end = request_lines[0].at, request_lines[-1].at
+    choices = [line.fields for line in request_lines if _kind(line) in (_ROUTE, _RETRY)]
     routes = [row for row in choices if row["message_type"] == _ROUTE]
     losses = [row for row in choices if row["message_type"] == _RETRY]
     if losses and cause.startswith("late"):
@@ -153,7 +159,7 @@
     return Loss(
         request=request,
         window=begin // WINDOW_SECONDS * WINDOW_SECONDS,
-        host=story[0].host,
+        host=request_lines[0].host,
         endpoint=str(routes[-1].get("choice")) if routes else "",
         phase=_find_phase(routes, losses),
         cause=cause,
@@ -164,7 +170,7 @@
 
 
 def _find_phase(routes: Sequence[dict], losses: Sequence[dict]) -> str:
-    """Return how far a request had come, by the last decision on it."""
+    """Return the phase of a request, from the last route or retry decision."""
     if not routes:
         return "gate"
     position = (losses or routes)[-1].get("position")
@@ -178,7 +184,7 @@
 
 
 def show_table(losses: Sequence[Loss]) -> Iterator[str]:
-    """Yield the lines of a table: how many were lost, by moment, host and cause."""
+    """Yield the table: request counts by window, host, phase, cause and faults."""
     counts = Counter(
         (loss.window, loss.host, loss.phase, loss.cause, ", ".join(loss.faults))
         for loss in losses
@@ -197,7 +203,7 @@
 def main(
     log: Path, report: Path | None, first_ms: float, pause_ms: float, as_json: bool
 ) -> None:
-    """Tell which requests of a played day were late or lost."""
+    """List the requests of a simulated day that were late or lost."""
     faults = read_faults(json.loads(report.read_text())) if report else []
     with log.open(errors="replace") as lines:
         losses = find_losses(
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,8 +1,8 @@
-"""Compares ways to place prompts, in virtual time: who knows what, who waits.
+"""Compares placement policies for prompts in a simulation.
 
-Each host knows its own runs at once and those of the hosts linked to it a moment
-later, as on the platform. A prompt is read for a second; several at one endpoint are
-read one after the other. Reported is how long callers wait for their first output.
+Each host knows its own runs at once and the runs of linked hosts after a delay, as on
+the platform. Prefill takes one second per prompt, and an endpoint prefills its prompts
+one after the other. The figures are the callers' waiting times for the first output.
 """
 
 import random
@@ -17,26 +17,26 @@
 from passtally.routing import EndpointView, RouteQuery, choose_endpoint
 
 PROMPT_TOKENS = 5_000
-READ_SECONDS = 1.0
+PREFILL_SECONDS = 1.0
 RUN_SECONDS = 6.0
-#: How long a host's news takes to be heard.
-NEWS_LAG = 0.05
-#: Users' sheets: a first output later than this is late.
+#: Delay until linked hosts receive the load updates of a host, in seconds.
+UPDATE_LAG = 0.05
+#: Maximum time to the first output in the deployments' requirements, in seconds.
 LATE_SECONDS = 4.5
 
 
 @attrs.frozen(kw_only=True)
 class Fleet:
-    """How many there are, and what comes."""
+    """Number of hosts, endpoints and failure domains, and the rate of prompts."""
 
     hosts: int
     endpoints: int
     domains: int
-    prompts_a_second: float
+    prompts_per_second: float
 
 
-SMALL = Fleet(hosts=7, endpoints=12, domains=3, prompts_a_second=3.13)
-GROWN = Fleet(hosts=88, endpoints=140, domains=3, prompts_a_second=36.5)
+SMALL = Fleet(hosts=7, endpoints=12, domains=3, prompts_per_second=3.13)
+GROWN = Fleet(hosts=88, endpoints=140, domains=3, prompts_per_second=36.5)
 
 
 @attrs.define(kw_only=True)
@@ -44,12 +44,12 @@
     host: int
     endpoint: int
     at: float
-    read_until: float
+    prefill_until: float
     until: float
 
 
 def by_load(views: list[EndpointView], prompt: bytes, domain: str) -> str:
-    """Place as passtally does."""
+    """Place a prompt with the routing policy of passtally."""
     query = RouteQuery(
         affinity=prompt,
         failure_domain=domain,
@@ -61,7 +61,7 @@
 
 
 def at_random(views: list[EndpointView], prompt: bytes, domain: str) -> str:
-    """Place anywhere in the host's failure domain, whatever the load."""
+    """Place a prompt on a random endpoint of the host's failure domain."""
     local = [view.id for view in views if view.failure_domain == domain]
     return local[int.from_bytes(prompt) % len(local)]
 
@@ -70,65 +70,65 @@
 
 
 def simulate(fleet: Fleet, place: Place, *, seconds: float, seed: int) -> list[float]:
-    """Return how long each caller waited for its first output, in seconds."""
+    """Return each caller's waiting time for its first output, in seconds."""
     rng = random.Random(seed)
-    heard_by = _links(fleet)
+    sources_by_host = _links(fleet)
     weights = [rng.expovariate(1) for _ in range(fleet.hosts)]
     runs: list[_Run] = []
     waits: list[float] = []
     now = 0.0
     while now < seconds:
-        now += rng.expovariate(fleet.prompts_a_second)
+        now += rng.expovariate(fleet.prompts_per_second)
         runs = [run for run in runs if run.until > now]
         host = rng.choices(range(fleet.hosts), weights)[0]
-        views = _views(fleet, runs, host, heard_by[host], now)
+        views = _views(fleet, runs, host, sources_by_host[host], now)
         chosen = place(views, rng.randbytes(8), f"d{host % fleet.domains}")
         endpoint = int(chosen[1:])
         free_at = max(
-            (run.read_until for run in runs if run.endpoint == endpoint), default=now
+            (run.prefill_until for run in runs if run.endpoint == endpoint), default=now
         )
-        read_until = max(now, free_at) + READ_SECONDS
-        until = read_until + RUN_SECONDS - READ_SECONDS
+        prefill_until = max(now, free_at) + PREFILL_SECONDS
+        until = prefill_until + RUN_SECONDS - PREFILL_SECONDS
         runs.append(
             _Run(
                 host=host,
                 endpoint=endpoint,
                 at=now,
-                read_until=read_until,
+                prefill_until=prefill_until,
                 until=until,
             )
         )
-        waits.append(read_until - now)
+        waits.append(prefill_until - now)
     return waits
 
 
 def _links(fleet: Fleet) -> list[set[int]]:
-    """Return for each host the hosts whose news it hears."""
+    """Return, for each host, the hosts whose updates it receives."""
     rows = [
         MemberRow(f"h{n:03}", f"d{n % fleet.domains}", 1, 0, False, "x")
         for n in range(fleet.hosts)
     ]
-    heard_by: list[set[int]] = [set() for _ in rows]
-    for number, own in enumerate(rows):
-        others = [row for row in rows if row is not own]
-        for row in choose_links(own, others):
-            heard_by[int(row.host_id[1:])].add(number)
-    return heard_by
+    sources_by_host: list[set[int]] = [set() for _ in rows]
+    for number, local in enumerate(rows):
+        others = [row for row in rows if row is not local]
+        for row in choose_links(local, others):
+            sources_by_host[int(row.host_id[1:])].add(number)
+    return sources_by_host
 
 
 def _views(
-    fleet: Fleet, runs: list[_Run], host: int, heard: set[int], now: float
+    fleet: Fleet, runs: list[_Run], host: int, sources: set[int], now: float
 ) -> list[EndpointView]:
-    reading = [0] * fleet.endpoints
+    prefill_tokens = [0] * fleet.endpoints
     running = [0] * fleet.endpoints
-    held = [0] * fleet.endpoints
+    kv_tokens = [0] * fleet.endpoints
     for run in runs:
-        is_known = run.host in heard and now - run.at >= NEWS_LAG
+        is_known = run.host in sources and now - run.at >= UPDATE_LAG
         if run.host != host and not is_known:
             continue
-        held[run.endpoint] += PROMPT_TOKENS
-        if run.read_until > now:
-            reading[run.endpoint] += PROMPT_TOKENS
+        kv_tokens[run.endpoint] += PROMPT_TOKENS
+        if run.prefill_until > now:
+            prefill_tokens[run.endpoint] += PROMPT_TOKENS
         else:
             running[run.endpoint] += 1
     return [
@@ -140,9 +140,9 @@
             reported_streams=0,
             own_at_report=0,
             max_streams=64,
-            prefill_tokens=reading[n],
+            prefill_tokens=prefill_tokens[n],
             running_streams=running[n],
-            kv_tokens=held[n],
+            kv_tokens=kv_tokens[n],
             capacity_tokens=55_000,
         )
         for n in range(fleet.endpoints)
@@ -150,7 +150,7 @@
 
 
 def measure(*, seconds: float = 60.0, seeds: int = 3) -> dict[str, dict[str, float]]:
-    """Return for each fleet and way the mean and late share of first outputs."""
+    """Return the mean wait and late shares of first outputs, by fleet and policy."""
     figures = {}
     for fleet_name, fleet in (("small", SMALL), ("grown", GROWN)):
         for place in (by_load, at_random):
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,7 +1,7 @@
-"""Routing policies on one workload, in virtual time, calm and with faults.
+"""Routing policies on one workload in virtual time, with and without faults.
 
-The decisions and the dispatcher are the product's own; the engines are queues at
-its interface. All policies see the same recorded requests.
+The policy "affinity" and the dispatcher are those of the product; the engines are
+queues behind the engine interface. All policies receive the same requests.
 """
 
 import asyncio
@@ -39,11 +39,11 @@
 
 SEED = 20
 SECONDS = 40
-REQUESTS_A_SECOND = 16
+REQUESTS_PER_SECOND = 16
 DOMAINS = ("pilar", "tigre", "escobar")
 ENGINES = 12
 HOSTS = 3
-#: Two large workspaces send most of it.
+#: Weight of each workspace in the workload; two workspaces send most requests.
 WORKSPACES = {f"w{n}": weight for n, weight in enumerate((30, 20, *[3] * 8))}
 LONG_SHARE = 0.09
 LONG_TOKENS = (1500, 3000)
@@ -56,7 +56,7 @@
 
 @attrs.frozen(kw_only=True)
 class Arrival:
-    """One request of the recorded workload."""
+    """Request of the workload; ``at`` is its arrival time in seconds."""
 
     at: float
     host: int
@@ -68,7 +68,18 @@
 
 @attrs.define(kw_only=True)
 class Outcome:
-    """What one run of the workload gave."""
+    """Latencies and counts of one run of the workload.
+
+    Attributes:
+        first_token: Time to the first token, in microseconds.
+        between_tokens: Interval between later outputs, in microseconds.
+        lookups: Duration of lookup requests, in microseconds.
+        delivered: Tokens of completed requests.
+        refused: Requests that failed before any output.
+        cut: Requests that failed after some output.
+        tokens_by_workspace: Delivered outputs by workspace.
+        wanted_by_workspace: Requested tokens by workspace.
+    """
 
     first_token: HdrHistogram
     between_tokens: HdrHistogram
@@ -81,9 +92,9 @@
 
 
 def run() -> list[Figure]:
-    """Run each policy, calm and with faults."""
+    """Run each policy without and with faults."""
     logging.disable()
-    arrivals = _record()
+    arrivals = _make_workload()
     figures = []
     for faults in (False, True):
         for name, make in POLICIES.items():
@@ -93,13 +104,13 @@
     return figures
 
 
-def _record() -> list[Arrival]:
+def _make_workload() -> list[Arrival]:
     rng = random.Random(SEED)
     prefixes = [f"prefix {n} ".ljust(256, "x") for n in range(PREFIXES)]
     arrivals = []
     at = 0.0
     while at < SECONDS:
-        at += rng.expovariate(REQUESTS_A_SECOND)
+        at += rng.expovariate(REQUESTS_PER_SECOND)
         workspace = rng.choices(list(WORKSPACES), WORKSPACES.values())[0]
         is_long = rng.random() < LONG_SHARE
         tokens = rng.randint(*LONG_TOKENS) if is_long else _draw_length(rng)
@@ -126,7 +137,7 @@
 
 
 class _Recorder:
-    """The sink of one request: measures as a caller would."""
+    """Sink of one request that measures the latencies that a caller sees."""
 
     def __init__(self, arrival: Arrival, result: Outcome, started: float) -> None:
         self._arrival = arrival
@@ -135,10 +146,10 @@
         self._has_begun = False
 
     def switch(self, generation: Generation, attempt: object) -> None:
-        """Nothing depends on it."""
+        """Do nothing: the latencies do not depend on the attempt."""
 
     async def write(self, deliveries: Sequence[object]) -> None:
-        """Measure the gap before this output."""
+        """Record the time since the previous output, or since the start."""
         now = asyncio.get_running_loop().time()
         gap = max(1, int((now - self._last) * 1e6))
         self._last = now
@@ -151,7 +162,7 @@
 
 
 class _Bench:
-    """Hosts and engines in virtual time."""
+    """Hosts and engines of one run, in virtual time."""
 
     def __init__(self, choose: Choose, clock: Clock) -> None:
         service = Service(id="s", kind=ServiceKind.MODEL, model="m", version="1")
@@ -212,7 +223,7 @@
         lookups=HdrHistogram(1, MAX_MICROSECONDS, 3),
     )
     if faults:
-        bench.tasks.append(asyncio.ensure_future(_strike(bench)))
+        bench.tasks.append(asyncio.ensure_future(_inject_faults(bench)))
     if hasattr(policy, "probe"):
         bench.tasks.append(asyncio.ensure_future(policy.probe(bench)))
     loop = asyncio.get_running_loop()
@@ -226,8 +237,8 @@
     return result, list(bench.engines.values())
 
 
-async def _strike(bench: _Bench) -> None:
-    """One engine dies and comes back, one freezes, one more dies for good."""
+async def _inject_faults(bench: _Bench) -> None:
+    """Crash and restart one engine, freeze and thaw another, crash a third for good."""
     await asyncio.sleep(6)
     bench.engines["r0"].die()
     await asyncio.sleep(4)
@@ -307,7 +318,7 @@
 
 
 class _Affinity:
-    """The product's policy: prefix affinity and load, two compared."""
+    """Policy of the product: prefix affinity and load, comparing two endpoints."""
 
     def __init__(self, rng: random.Random) -> None:
         del rng
@@ -315,7 +326,7 @@
     def choose(
         self, query: RouteQuery, endpoints: Sequence[EndpointView], *, now: timedelta
     ) -> RouteDecision:
-        """Choose."""
+        """Choose with the routing decision of the product."""
         return choose_endpoint(query, endpoints, now=now)
 
 
@@ -337,7 +348,7 @@
 
 
 class _RoundRobin:
-    """Baseline: each endpoint in turn."""
+    """Baseline: round robin over the usable endpoints."""
 
     def __init__(self, rng: random.Random) -> None:
         self._count = rng.randrange(ENGINES)
@@ -345,14 +356,14 @@
     def choose(
         self, query: RouteQuery, endpoints: Sequence[EndpointView], *, now: timedelta
     ) -> RouteDecision:
-        """Choose."""
+        """Choose the next usable endpoint in turn."""
         usable = _usable(query, endpoints, now)
         self._count += 1
         return _decide(usable[self._count % len(usable)] if usable else None)
 
 
 class _LeastReported:
-    """Baseline: the least loaded by report alone."""
+    """Baseline: lowest load by load reports alone."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -360,7 +371,7 @@
     def choose(
         self, query: RouteQuery, endpoints: Sequence[EndpointView], *, now: timedelta
     ) -> RouteDecision:
-        """Choose."""
+        """Choose the endpoint with the fewest reported streams, ties at random."""
         usable = _usable(query, endpoints, now)
         self._rng.shuffle(usable)
         key = lambda view: view.reported_streams  # noqa: E731
@@ -368,17 +379,20 @@
 
 
 class _Probing:
-    """Requests in flight from probes of two at random, after Prequal (NSDI 2024)."""
+    """Baseline: lowest load of up to three random endpoints, with random probes.
 
-    PROBES_A_SECOND = 10
+    Modelled after Prequal (NSDI 2024).
+    """
+
+    PROBES_PER_SECOND = 10
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
     async def probe(self, bench: _Bench) -> None:
-        """Probe random endpoints from each host."""
+        """Probe a random endpoint from each host, at ``PROBES_PER_SECOND``."""
         while True:
-            await asyncio.sleep(1 / self.PROBES_A_SECOND)
+            await asyncio.sleep(1 / self.PROBES_PER_SECOND)
             for fleet in bench.fleets:
                 live = fleet.find(self._rng.choice(list(bench.engines)))
                 report = await live.engine.probe()
@@ -388,7 +402,7 @@
     def choose(
         self, query: RouteQuery, endpoints: Sequence[EndpointView], *, now: timedelta
     ) -> RouteDecision:
-        """Choose."""
+        """Choose the least loaded of up to three random endpoints."""
         usable = _usable(query, endpoints, now)
         compared = self._rng.sample(usable, min(3, len(usable)))
         key = lambda view: view.load  # noqa: E731
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,4 +1,4 @@
-"""The baselines: a bare relay with no decisions, and one that starts again."""
+"""Baseline relays: one without routing, and one that restarts lost requests."""
 
 from collections.abc import AsyncIterator
 
@@ -12,10 +12,10 @@
 
 
 class Relay:
-    """Copies one upstream's answers, chunk by chunk.
+    """Relay that forwards responses chunk by chunk, with round-robin upstreams.
 
     Args:
-        upstreams: Where requests go, in turn.
+        upstreams: Base URLs of the upstreams.
     """
 
     def __init__(self, upstreams: list[str]) -> None:
@@ -23,7 +23,7 @@
         self._count = 0
 
     async def serve(self, request: web.Request) -> web.StreamResponse:
-        """Relay one request."""
+        """Relay a request without retries."""
         self._count += 1
         url = self._upstreams[self._count % len(self._upstreams)]
         body = await request.read()
@@ -35,7 +35,10 @@
         return response
 
     async def serve_again(self, request: web.Request) -> web.StreamResponse:
-        """Relay one request; where its upstream is lost, start it from nothing."""
+        """Relay a request; if its upstream fails, rerun it from the start on the next.
+
+        Events that the caller already has are not sent again.
+        """
         body = await request.read()
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await response.prepare(request)
@@ -63,7 +66,7 @@
                     number += 1
 
     async def open(self, app: web.Application):
-        """Hold the client session while the application runs."""
+        """Keep a client session open while the application runs."""
         connector = aiohttp.TCPConnector(limit=0)
         timeout = aiohttp.ClientTimeout(total=None)
         async with aiohttp.ClientSession(
@@ -78,7 +81,7 @@
 @click.option("--upstream", "upstreams", multiple=True, required=True)
 @click.option("--start-again", is_flag=True)
 def main(port: int, upstreams: tuple[str, ...], start_again: bool) -> None:
-    """Run the relay."""
+    """Run the relay on a port."""
     relay = Relay(list(upstreams))
     app = web.Application()
     handler = relay.serve_again if start_again else relay.serve
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""What benchmarks return, how it is shown, and the bounds it must keep."""
+"""Figures of benchmarks: output, the saved report, and upper bounds."""
 
 import json
 from collections.abc import Callable, Sequence
@@ -13,12 +13,12 @@
 
 @attrs.frozen(kw_only=True)
 class Figure:
-    """One measured figure.
+    """Measured figure.
 
     Attributes:
-        name: What it is, as ``benchmark.figure``.
-        value: How much.
-        unit: In what.
+        name: Name in the form ``benchmark.figure``.
+        value: Measured value, in ``unit``.
+        unit: Unit of the value.
     """
 
     name: str
@@ -30,13 +30,13 @@
 
 
 def show(figures: Sequence[Figure]) -> None:
-    """Print a table."""
+    """Print one line per figure with name, value and unit."""
     for figure in figures:
         print(f"{figure.name:58}{figure.value:12.3f}  {figure.unit}")
 
 
 def write(figures: Sequence[Figure]) -> None:
-    """Write the report; figures that were not measured now stay as they were."""
+    """Update the report; figures that are not given keep their saved values."""
     known = json.loads(REPORT.read_text()) if REPORT.exists() else {}
     for figure in figures:
         known[figure.name] = {"value": round(figure.value, 4), "unit": figure.unit}
@@ -44,7 +44,7 @@
 
 
 def find_broken(figures: Sequence[Figure]) -> list[str]:
-    """Return one line for each bound that a figure breaks."""
+    """Return a message for each figure above its bound."""
     bounds = json.loads(BOUNDS.read_text())
     return [
         f"{figure.name} is {figure.value:.3f}, above its bound {bounds[figure.name]}"
@@ -54,6 +54,6 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value at a share (0 to 1) of the sorted values."""
+    """Return the value at a quantile between 0 and 1."""
     ranked = sorted(values)
     return ranked[min(len(ranked) - 1, int(share * len(ranked)))]
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -1,10 +1,13 @@
-"""Plays many roll-outs in virtual time, and tells how they end.
+"""Simulates many roll-outs in virtual time and summarizes their outcomes.
 
     python -m bench.rollouts [--seeds N] [--hosts N] [--test mixture|ratio] [--jobs N]
 
-Each row is one kind of version or trouble: how often it was recorded as good, how often
-the new version got more requests than a bad one may, the bad answers until roll-back,
-and the time until the end.
+Each row is one kind of version or disturbance. The columns are the roll-outs recorded
+as completed, those without a recorded state, those in which the new version got more
+requests than a bad version may get, those in which it got requests later than five
+seconds after its 50th bad answer, the bad answers (median and 99th percentile), the
+median number of requests to the new version, and the time to the end in seconds (median
+and maximum).
 """
 
 import statistics
@@ -26,8 +29,9 @@
 )
 
 GOOD = VersionBehaviour()
-#: Bad versions as the deployment's sheet tells of them: they fail a share of what they
-#: run or take several times as long, at once or later, or on one route.
+#: Good version, and bad versions as in the requirements of the deployment: they fail a
+#: share of their requests or take several times as long, at once, later or on one
+#: route.
 VERSIONS_BY_NAME: Mapping[str, VersionBehaviour] = {
     "good": GOOD,
     "fails 1.0": VersionBehaviour(failing=1.0),
@@ -44,7 +48,7 @@
     "fails 0.5 on one route": VersionBehaviour(failing=0.5, on_route="r1"),
     "slow x4 on one route": VersionBehaviour(slower=4.0, on_route="r1"),
 }
-#: Trouble beside a roll-out, of a good version and of a bad one.
+#: Disturbances during a roll-out, simulated with a good and with a bad version.
 TROUBLES_BY_NAME: Mapping[str, Mapping[str, float]] = {
     "hosts start anew": {"kills": 4},
     "a third cut off": {"cut_hosts": 0.34},
@@ -57,12 +61,12 @@
 
 
 def make_ratio_test(baseline: float, tolerated: float, error: float) -> RateTest:
-    """Return Wald's test in place of the one that is used."""
+    """Return Wald's sequential ratio test, to compare with the default test."""
     return RatioTest(baseline=baseline, high=tolerated, error=error)
 
 
 def list_kinds() -> dict[str, RolloutPlay]:
-    """Return what is played, by its name; the seed and the size are set later."""
+    """Return the simulations by name; the caller sets seed and fleet size."""
     plays = {
         name: RolloutPlay(seed=0, version=version)
         for name, version in VERSIONS_BY_NAME.items()
@@ -74,13 +78,13 @@
 
 
 def play_one(play: RolloutPlay, *, uses_ratio: bool) -> RolloutResult:
-    """Play one roll-out."""
+    """Simulate one roll-out, with Wald's ratio test if ``uses_ratio``."""
     judge = VersionJudge(make_test=make_ratio_test) if uses_ratio else None
     return play_rollout(play, judge=judge)
 
 
 def summarize(name: str, results: Sequence[RolloutResult]) -> str:
-    """Return one row of the table."""
+    """Return the table row of one kind of roll-out."""
     completed = sum(item.state is RecordedState.COMPLETED for item in results)
     over = sum(item.is_over_bound for item in results)
     late = sum(item.after_limit > 0 for item in results)
@@ -96,14 +100,18 @@
 
 
 @click.command()
-@click.option("--seeds", default=20, help="Roll-outs of each kind.")
+@click.option("--seeds", default=20, help="Number of roll-outs of each kind.")
 @click.option("--first", default=1, help="The first seed.")
 @click.option("--hosts", default=6)
 @click.option("--endpoints", default=12)
-@click.option("--rate", default=60.0, help="Requests a second.")
-@click.option("--within", default=12.0, help="The order's time, in seconds.")
+@click.option("--rate", default=60.0, help="Requests per second.")
+@click.option(
+    "--within", default=12.0, help="Time limit of the roll-out order, in seconds."
+)
 @click.option("--test", type=click.Choice(["mixture", "ratio"]), default="mixture")
-@click.option("--kind", default="", help="Only kinds whose names hold this.")
+@click.option(
+    "--kind", default="", help="Run only kinds whose names contain this text."
+)
 @click.option("--jobs", default=2)
 def main(
     seeds: int,
@@ -116,7 +124,7 @@
     kind: str,
     jobs: int,
 ) -> None:
-    """Play roll-outs and print a table."""
+    """Simulate roll-outs and print a table of their outcomes."""
     size = {
         "hosts": hosts,
         "endpoints": endpoints,
--- a/bench/silence.py
+++ b/bench/silence.py
@@ -1,7 +1,7 @@
-"""The silence limit: resume latency after a freeze against false alarms.
+"""Silence limit: trade-off between resume latency after a freeze and false alarms.
 
-In virtual time: engines stall for a moment now and then, mostly while they still
-answer a probe, and freeze for good more seldom.
+In virtual time, engines stall briefly from time to time, mostly while they still answer
+probes. Less often, an engine freezes for ``FREEZE_SECONDS``.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 STALL_EVERY = 15.0
 STALL_MEDIAN = 0.25
 STALL_SIGMA = 0.9
-#: Stalls during which the engine does not answer a probe either.
+#: Share of stalls during which the engine does not answer probes either.
 MUTE_SHARE = 0.2
 FREEZE_EVERY = 30.0
 FREEZE_SECONDS = 15.0
@@ -50,19 +50,19 @@
 
 
 class _CountingMetrics(NoMetrics):
-    """Counts losses by silence."""
+    """Metrics that count attempts lost because the engine was silent."""
 
     def __init__(self, result: _Result) -> None:
         self._result = result
 
     def count(self, metric: Metric, part: str = "") -> None:
-        """Count one."""
+        """Count a lost attempt if its engine was frozen."""
         if metric is Metric.LOST and part == "frozen":
             self._result.lost += 1
 
 
 class _Watcher:
-    """The sink of one stream; knows when its engine froze."""
+    """Sink of one stream that measures the time from a freeze to the next output."""
 
     def __init__(self, result: _Result) -> None:
         self.engine = ""
@@ -70,11 +70,11 @@
         self._result = result
 
     def switch(self, generation: Generation, attempt: object) -> None:
-        """Learn of a new attempt."""
+        """Record the endpoint of a new attempt."""
         self.engine = attempt.endpoint_id
 
     async def write(self, deliveries: list) -> None:
-        """Measure the first output after a freeze."""
+        """Record the latency of the first output after a freeze."""
         if self.hit_at is not None:
             now = asyncio.get_running_loop().time()
             self._result.latencies.append(now - self.hit_at)
@@ -82,7 +82,7 @@
 
 
 def run() -> list[Figure]:
-    """Measure each floor of the limit between tokens."""
+    """Measure each lower bound of the silence limit."""
     figures = []
     for floor in FLOORS_MS:
         result = run_virtually(_run_floor(timedelta(milliseconds=floor)))
--- a/bench/survive.py
+++ b/bench/survive.py
@@ -1,4 +1,4 @@
-"""Resume latency, and what surviving costs, against starting again from nothing."""
+"""Resume latency and extra tokens after faults, compared with restarting requests."""
 
 import asyncio
 import signal
@@ -25,20 +25,21 @@
 FAULT_AFTER = 1.5
 HOSTS = {"entry-a": "pilar", "entry-b": "tigre", "entry-c": "escobar"}
 PROMPT = "\n".join(f"av. rivadavia {n},  pilar" for n in range(120))
-#: A stream that went on within this time was not hit by the fault.
-UNHIT_SECONDS = 0.03
+#: A stream that continues within this time was not hit by the fault.
+UNAFFECTED_SECONDS = 0.03
 
 
 @attrs.define
 class Round:
-    """What one round gave.
+    """Measurements of one round; token counts start at the fault.
 
     Attributes:
-        latencies: Seconds from the fault to each hit stream's next token.
-        delivered: Tokens that came after the fault.
-        generated: Tokens that the engines generated after it.
-        prefilled: Tokens that the engines read again after it.
-        failures: Streams that did not come whole.
+        latencies: Time from the fault to the next token of each stream that was
+            hit, in seconds.
+        delivered: Number of tokens that callers received.
+        generated: Number of tokens that engines generated.
+        prefilled: Number of tokens that engines prefilled again.
+        failures: Number of incomplete streams.
     """
 
     latencies: list[float] = attrs.field(factory=list)
@@ -50,17 +51,17 @@
 
 @attrs.frozen(kw_only=True)
 class Scenario:
-    """One fault, and at which protection.
+    """Fault to inject and the setup in which it occurs.
 
     Attributes:
-        name: Its name.
-        protection: The service's protection.
-        strike: Brings the fault about.
-        is_baseline: Whether the relay that starts again serves.
+        name: Name of the scenario in the figures.
+        protection: Protection level of the service.
+        inject_fault: Function that causes the fault.
+        is_baseline: Whether the relay that restarts lost requests serves.
     """
 
     name: str
-    strike: Callable[[Processes], None]
+    inject_fault: Callable[[Processes], None]
     protection: Protection = Protection.ENGINE
     is_baseline: bool = False
 
@@ -83,18 +84,24 @@
 
 
 SCENARIOS = (
-    Scenario(name="engine_killed", strike=_kill_engine),
-    Scenario(name="engine_frozen", strike=_freeze_engine),
-    Scenario(name="host_killed", strike=_kill_host),
+    Scenario(name="engine_killed", inject_fault=_kill_engine),
+    Scenario(name="engine_frozen", inject_fault=_freeze_engine),
+    Scenario(name="host_killed", inject_fault=_kill_host),
     Scenario(
-        name="host_and_engine_killed", strike=_kill_both, protection=Protection.COPY
+        name="host_and_engine_killed",
+        inject_fault=_kill_both,
+        protection=Protection.COPY,
     ),
-    Scenario(name="start_again_baseline", strike=_kill_engine, is_baseline=True),
+    Scenario(name="start_again_baseline", inject_fault=_kill_engine, is_baseline=True),
 )
 
 
 def run() -> list[Figure]:
-    """Run all scenarios; fail where a stream did not come whole."""
+    """Run all scenarios and compare them with the baseline.
+
+    Incomplete streams are counted in ``not_whole``, which has a bound of 0 for every
+    scenario but the baseline.
+    """
     figures = []
     rounds_by_name = {}
     for scenario in SCENARIOS:
@@ -121,7 +128,7 @@
 
 
 def _extra(rounds: list[Round]) -> float:
-    """Return the tokens generated twice, a stream that was hit."""
+    """Return the number of tokens generated twice, per stream that was hit."""
     extra = sum(item.generated - item.delivered for item in rounds)
     return max(extra, 0) / max(1, sum(len(item.latencies) for item in rounds))
 
@@ -129,7 +136,7 @@
 def _figures(name: str, rounds: list[Round]) -> list[Figure]:
     latencies = _latencies(rounds)
     if not latencies:
-        raise RuntimeError(f"{name}: no stream was hit")
+        raise RuntimeError(f"{name}: the fault hit no stream")
     hit = len(latencies)
     prefilled = sum(item.prefilled for item in rounds) / hit
 
@@ -150,7 +157,7 @@
 def _run_round(scenario: Scenario) -> Round:
     with tempfile.TemporaryDirectory() as folder, Processes(Path(folder)) as processes:
         token = _start(processes, scenario)
-        return asyncio.run(_drive(processes, scenario, token))
+        return asyncio.run(_run_streams(processes, scenario, token))
 
 
 def _start(processes: Processes, scenario: Scenario) -> str:
@@ -171,7 +178,7 @@
     return token
 
 
-async def _drive(processes: Processes, scenario: Scenario, token: str) -> Round:
+async def _run_streams(processes: Processes, scenario: Scenario, token: str) -> Round:
     async with aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0),
         timeout=aiohttp.ClientTimeout(total=120),
@@ -185,14 +192,14 @@
         gathered = asyncio.ensure_future(asyncio.gather(*work))
         await asyncio.sleep(FAULT_AFTER)
         before = await asyncio.to_thread(_count, processes)
-        struck_at = time.monotonic()
-        scenario.strike(processes)
+        fault_at = time.monotonic()
+        scenario.inject_fault(processes)
         answers = await gathered
     for process in processes.by_name.values():
         if process.popen.poll() is None:
             process.signal(signal.SIGCONT)
     after = _count(processes)
-    return _judge(answers, struck_at, before, after)
+    return _evaluate(answers, fault_at, before, after)
 
 
 def _count(processes: Processes) -> dict[str, dict[str, int]]:
@@ -204,14 +211,16 @@
     return {process.name: process.counts() for process in running}
 
 
-def _judge(answers: list[Answer], struck_at: float, before: dict, after: dict) -> Round:
+def _evaluate(
+    answers: list[Answer], fault_at: float, before: dict, after: dict
+) -> Round:
     result = Round()
     for answer in answers:
         result.failures += answer.events != TOKENS or answer.error is not None
-        result.delivered += sum(at > struck_at for at in answer.arrivals)
+        result.delivered += sum(at > fault_at for at in answer.arrivals)
         for earlier, later in pairwise(answer.arrivals):
-            if earlier <= struck_at < later and later - struck_at > UNHIT_SECONDS:
-                result.latencies.append(later - struck_at)
+            if earlier <= fault_at < later and later - fault_at > UNAFFECTED_SECONDS:
+                result.latencies.append(later - fault_at)
     for name, counts in after.items():
         result.generated += counts["generated"] - before[name]["generated"]
         result.prefilled += counts["prefilled"] - before[name]["prefilled"]
--- a/binary/__init__.py
+++ b/binary/__init__.py
@@ -1,1 +1,1 @@
-"""Builds and checks the one-file binary."""
+"""Build and check of the single-file binary."""
--- a/binary/build.py
+++ b/binary/build.py
@@ -1,7 +1,7 @@
-"""Build dist/passtally: one file that runs as one process.
+"""Builds dist/passtally, a single file that runs as a single process.
 
-PyInstaller's folder layout is packed behind a small launcher that unpacks it to a
-memory file system and then becomes the program by exec.
+The output folder of PyInstaller is appended to a small launcher. The launcher unpacks
+it to a memory file system and then replaces itself with the program by exec.
 """
 
 import hashlib
@@ -35,7 +35,7 @@
 
 
 def _freeze() -> Path:
-    """Return the folder of the frozen program."""
+    """Freeze the program with PyInstaller and return its folder."""
     PyInstaller.__main__.run(
         [
             str(ROOT / "binary" / "entry.py"),
@@ -59,7 +59,7 @@
 
 
 def _pack(folder: Path) -> bytes:
-    """Return the folder as an archive that the launcher reads."""
+    """Return the files of the folder as a USTAR archive, which the launcher reads."""
     buffer = io.BytesIO()
     with tarfile.open(fileobj=buffer, mode="w", format=tarfile.USTAR_FORMAT) as archive:
         for path in sorted(folder.rglob("*")):
@@ -69,7 +69,7 @@
 
 
 def _compile() -> bytes:
-    """Return the launcher, linked to the C library as usual."""
+    """Compile the launcher, dynamically linked to the C library; return its bytes."""
     target = WORK / "launcher"
     source = ROOT / "binary" / "launcher.c"
     subprocess.run(
--- a/binary/check.py
+++ b/binary/check.py
@@ -1,4 +1,4 @@
-"""Check dist/passtally: one process, no child ever, no io_uring, linked to libc."""
+"""Checks dist/passtally: one process, never a child, no io_uring, linked to libc."""
 
 import os
 import shutil
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Run all checks; exit 1 where one fails."""
+    """Run all checks; exit 1 if one fails."""
     problems = []
     with (
         tempfile.TemporaryDirectory() as folder,
@@ -31,8 +31,8 @@
         try:
             _wait_ready(url)
             daemon = _daemon_pid(popen.pid)
-            problems += _look_at(daemon)
-            # A tracer ends with what it traces, not by a signal of its own.
+            problems += _check_process(daemon)
+            # The signal goes to the daemon; a tracer exits together with its tracee.
             os.kill(daemon, signal.SIGTERM)
             popen.wait(START_SECONDS)
         finally:
@@ -80,21 +80,21 @@
 
 
 def _daemon_pid(pid: int) -> int:
-    """Return the daemon's own process behind a tracer."""
+    """Return the daemon's process id: the tracer's child, or the process itself."""
     children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
     return int(children[0]) if children else pid
 
 
-def _look_at(pid: int) -> list[str]:
+def _check_process(pid: int) -> list[str]:
     problems = []
     for task in os.listdir(f"/proc/{pid}/task"):
         if Path(f"/proc/{pid}/task/{task}/children").read_text().split():
-            problems.append("it has a child")
+            problems.append(f"thread {task} has a child process")
     targets = [os.readlink(path) for path in Path(f"/proc/{pid}/fd").iterdir()]
     if any("io_uring" in target for target in targets):
-        problems.append("it has an io_uring descriptor")
+        problems.append("the daemon has an io_uring descriptor")
     if "libc.so" not in Path(f"/proc/{pid}/maps").read_text():
-        problems.append("it is not linked to the C library")
+        problems.append("the daemon is not linked to the C library")
     return problems
 
 
--- a/binary/entry.py
+++ b/binary/entry.py
@@ -1,4 +1,4 @@
-"""Where the frozen program starts."""
+"""Entry point of the frozen program."""
 
 from passtally.cli import main
 
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the outside systems. Not part of the shipped package."""
+"""Stand-ins for the outside systems, for tests and benchmarks; not shipped."""
 
 import os
 
--- a/standins/booking.py
+++ b/standins/booking.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service that books slots and counts how often each ran."""
+"""Stand-in for a plain HTTP service that books slots and counts runs per slot."""
 
 import asyncio
 import os
@@ -13,12 +13,12 @@
 
 
 class Control(msgspec.Struct, kw_only=True):
-    """The switches.
+    """Faults to inject, set by ``PUT /control``.
 
     Attributes:
-        delay: Seconds before a booking is answered.
-        lose_answers: How many of the next bookings are made unanswered.
-        die_after: Kill this process after this many more bookings.
+        delay: Delay of each response, in seconds.
+        lose_answers: Number of next bookings that are made but get no response.
+        die_after: Number of further bookings after which this process is killed.
     """
 
     delay: float = 0.0
@@ -27,7 +27,7 @@
 
 
 class BookingStandin:
-    """The bookings and their HTTP handlers."""
+    """Booking service: run counts per slot and the HTTP handlers."""
 
     def __init__(self) -> None:
         self.control = Control()
@@ -43,7 +43,7 @@
         return app
 
     async def book(self, request: web.Request) -> web.Response:
-        """Book a slot."""
+        """Book a slot and return its run count, subject to the injected faults."""
         slot = request.match_info["slot"]
         self.runs_by_slot[slot] += 1
         await asyncio.sleep(self.control.delay)
@@ -57,15 +57,15 @@
         return web.json_response({"slot": slot, "runs": self.runs_by_slot[slot]})
 
     async def redirect(self, request: web.Request) -> web.Response:
-        """Point at another path; a caller must not be followed there."""
+        """Redirect to the slot's path; the proxy must not follow the redirect."""
         raise web.HTTPTemporaryRedirect(f"/slots/{request.match_info['slot']}")
 
     async def read_control(self, request: web.Request) -> web.Response:
-        """Answer with how often each slot was booked."""
+        """Return the number of runs of each slot."""
         return web.json_response(dict(self.runs_by_slot))
 
     async def write_control(self, request: web.Request) -> web.Response:
-        """Set the switches."""
+        """Replace the faults to inject."""
         self.control = msgspec.json.decode(await request.read(), type=Control)
         return web.json_response({})
 
@@ -73,7 +73,7 @@
 @click.command()
 @click.option("--port", type=int, required=True)
 def main(port: int) -> None:
-    """Run the stand-in."""
+    """Run the booking service on a port."""
     run_app(BookingStandin().build_app, port)
 
 
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller: sends requests, reads event streams, reconnects where it left off."""
+"""Client that reads event streams and reconnects after the last event received."""
 
 import asyncio
 import contextlib
@@ -15,20 +15,20 @@
 
 @attrs.define
 class Answer:
-    """What a caller got of one answer.
+    """Content and timing of one answer as the client received it.
 
     Attributes:
-        text: Its text.
-        events: How many events with an id came.
-        arrivals: When each came, on the monotonic clock, in seconds.
-        finish_reason: Why it ended, or None.
-        last_id: The last event id.
-        error: The error that ended it, if any.
-        connections: How many connections it took.
-        usage: The usage that was reported, if any.
-        status: The HTTP status of the last connection.
-        reported: How often an end was reported.
-        generation_id: The generation's id.
+        text: Concatenated text of all events.
+        events: Number of events with an id.
+        arrivals: Arrival time of each event, in seconds on the monotonic clock.
+        finish_reason: Finish reason of the answer, or None while unfinished.
+        last_id: Id of the last event, sent as Last-Event-ID on reconnect.
+        error: Error object that ended the answer, or None.
+        connections: Number of connections opened.
+        usage: Last usage object received, or None.
+        status: HTTP status of the last connection.
+        reported: Number of events with a finish reason; 1 in a correct answer.
+        generation_id: Id of the generation.
     """
 
     text: str = ""
@@ -45,18 +45,19 @@
 
     @property
     def longest_gap(self) -> float:
-        """The longest time between two events, in seconds."""
+        """Longest interval between two consecutive events, in seconds."""
         pairs = zip(self.arrivals, self.arrivals[1:], strict=False)
         return max((after - before for before, after in pairs), default=0.0)
 
 
 class Caller:
-    """One workspace's caller.
+    """Client of one workspace.
 
     Args:
-        session: The client session.
-        urls: The entry hosts; the balancer's choice is the next one in turn.
-        token: The workspace's token.
+        session: HTTP client session.
+        urls: Base URLs of the entry hosts. Each reconnect uses the next one, as
+            a round-robin balancer would.
+        token: Bearer token of the workspace.
     """
 
     def __init__(
@@ -76,7 +77,10 @@
         reconnect: bool = True,
         **fields: object,
     ) -> Answer:
-        """Stream one answer, reconnecting until it is whole or refused."""
+        """Stream one answer, reconnecting until it is complete or fails.
+
+        Without any event, give up ``RECONNECT_SECONDS`` after the start.
+        """
         messages = [{"role": "user", "content": prompt}]
         body = {"model": model, "messages": messages, "stream": True} | fields
         data = msgspec.json.encode(body)
@@ -114,14 +118,14 @@
             rest = b""
             while chunk := await response.content.readany():
                 *whole, rest = (rest + chunk).split(b"\n\n")
-                for raw in whole:
-                    _take_event(raw, answer)
+                for raw_event in whole:
+                    _record_event(raw_event, answer)
                     if on_event is not None:
                         on_event(answer)
 
 
-def _take_event(raw: bytes, answer: Answer) -> None:
-    fields = dict(line.split(b": ", 1) for line in raw.split(b"\n"))
+def _record_event(raw_event: bytes, answer: Answer) -> None:
+    fields = dict(line.split(b": ", 1) for line in raw_event.split(b"\n"))
     data = fields.get(b"data", b"")
     if not data or data == b"[DONE]":
         return
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes, with an engine killed mid-answer."""
+"""End-to-end demo with separate processes and an engine killed mid-answer."""
 
 import asyncio
 import sys
@@ -20,7 +20,11 @@
 
 @attrs.frozen(kw_only=True)
 class Row:
-    """One line of the demo's report."""
+    """One line of the demo's report.
+
+    ``longest_gap_ms`` is the longest interval between two events. ``is_whole``
+    tells whether the answer was complete and identical to the expected one.
+    """
 
     name: str
     tokens: int
@@ -30,7 +34,7 @@
 
 
 def main() -> None:
-    """Run the demo; exit 0 only if every answer is whole."""
+    """Run the demo; exit 0 only if every answer is complete and correct."""
     with (
         tempfile.TemporaryDirectory() as folder,
         Processes(Path(folder)) as processes,
@@ -85,16 +89,16 @@
 
 
 class _Killer:
-    """Kills the engine that runs a stream once it has sent some events."""
+    """Kills the first engine at event ``KILL_AT_EVENT`` of the watched answer."""
 
     def __init__(self, engines: list[Process]) -> None:
         self._engines = engines
-        self._done = False
+        self._is_killed = False
 
     def watch(self, answer: Answer) -> None:
-        if self._done or answer.events < KILL_AT_EVENT:
+        if self._is_killed or answer.events < KILL_AT_EVENT:
             return
-        self._done = True
+        self._is_killed = True
         self._engines[0].kill()
         print(f"killed {self._engines[0].name} at event {answer.events}")
 
@@ -120,7 +124,7 @@
 
 
 def _count_attempts(processes: Processes, generation_id: str) -> int:
-    """Return how often the hosts' logs say that a generation was routed."""
+    """Return the number of routing entries for a generation in the hosts' logs."""
     logs = processes.folder.glob("entry-*.log")
     lines = [line for log in logs for line in log.read_text().splitlines()]
     return sum(generation_id in line and "passtally:route" in line for line in lines)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in for a model engine; docs/ENGINE.md has its protocol.
+"""Stand-in for a model engine; docs/ENGINE.md describes the protocol.
 
-It batches continuously in small steps, caches prompt prefixes, honours
-priorities, and holds the stream of a lost caller for a while. ``PUT /control``
-makes it die, freeze or drop a connection at a token.
+It uses continuous batching in small steps, caches prompt prefixes, schedules by
+priority, and keeps a stream for a while after its caller disconnects.
+``PUT /control`` makes it crash, freeze or drop a connection at a token position.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 from standins.serving import run_app
 
 PREFIX_CHARACTERS = 256
-CHARACTERS_A_TOKEN = 4
+CHARACTERS_PER_TOKEN = 4
 
 
 class Body(msgspec.Struct, kw_only=True):
-    """A request to run."""
+    """Request to run a generation; it continues after ``prior_token_ids``."""
 
     request_id: str
     attempt: int = 1
@@ -42,16 +42,16 @@
 
 
 class Control(msgspec.Struct, kw_only=True):
-    """The switches. Positions are token positions of any stream.
+    """Faults to inject, set by ``PUT /control``.
 
     Attributes:
-        die_at: Kill this process once a stream reaches this position.
-        freeze_at: Stop this process once a stream reaches this position.
-        drop_at: Break the stream's connection once it reaches this position.
-        only: Apply them only to streams whose prompt contains this.
-        refuse: Refuse every new request.
-        ignore_cancel: Lose every cancel.
-        draining: Say in every load report that it is leaving.
+        die_at: Token position of a stream at which this process gets SIGKILL.
+        freeze_at: Token position of a stream at which this process gets SIGSTOP.
+        drop_at: Token position of a stream at which its connection is aborted.
+        only: Substring of the prompts to which the three positions apply.
+        refuse: Whether every new request is rejected.
+        ignore_cancel: Whether cancel requests are answered but have no effect.
+        draining: Whether every load report states that the engine is leaving.
     """
 
     die_at: int | None = None
@@ -64,7 +64,7 @@
 
 
 class Order(msgspec.Struct, kw_only=True):
-    """A fenced order: load a version or adapter, or change role."""
+    """Fenced order to load or unload a version or adapter, or to change role."""
 
     fence: int
     kind: str
@@ -73,7 +73,10 @@
 
 @attrs.define(eq=False)
 class Stream:
-    """One running or held stream."""
+    """One stream: running, finished, or kept for a caller that disconnected.
+
+    Times are in seconds on the monotonic clock.
+    """
 
     body: Body
     sampler: Sampler
@@ -92,17 +95,18 @@
 
 
 class EngineStandin:
-    """The engine and its HTTP handlers.
+    """Engine state, decoding loop and HTTP handlers.
 
     Args:
-        step: Seconds between decoding steps.
-        max_batch: Streams that decode at once.
-        prefill_rate: Prompt tokens read per second.
-        prefixes: How many prompt prefixes the cache holds.
-        hold: Seconds for which a lost caller's stream is held.
-        report_lag: Seconds by which the load report lags.
-        version: The model version that it serves.
-        checks_fencing: Whether it refuses orders with an old fence.
+        step: Interval between decoding steps, in seconds.
+        max_batch: Maximum number of streams in one decoding step.
+        prefill_rate: Prefill speed, in prompt tokens per second.
+        prefixes: Maximum number of cached prompt prefixes.
+        hold: Time for which a finished stream, or one whose caller
+            disconnected, is kept, in seconds.
+        report_lag: Age of the load that is reported, in seconds.
+        version: Model version that is loaded at the start.
+        checks_fencing: Whether orders with an old fence are rejected.
     """
 
     def __init__(
@@ -158,11 +162,14 @@
         return app
 
     async def generate(self, request: web.Request) -> web.StreamResponse:
-        """Run a request and stream its output."""
+        """Run a request and stream its output.
+
+        A newer attempt of a known request replaces its stream.
+        """
         body = msgspec.json.decode(await request.read(), type=Body)
         if self.control.refuse or body.version not in self._loaded | {""}:
             raise web.HTTPServiceUnavailable
-        # Callers without ids of their own are told apart here.
+        # Callers that send no request id must not share one stream.
         body.request_id = body.request_id or f"anonymous-{self.stats['requests']}"
         known = self._streams_by_id.get(body.request_id)
         if known is not None and known.attempt >= body.attempt:
@@ -174,7 +181,7 @@
         return await self._send(request, stream, stream.first_position)
 
     async def attach(self, request: web.Request) -> web.StreamResponse:
-        """Take up a held stream."""
+        """Resume a stream from a position, for a newer attempt."""
         stream = self._streams_by_id.get(request.match_info["id"])
         position = int(request.query["from"])
         if stream is None or position < stream.first_position:
@@ -186,7 +193,7 @@
         return await self._send(request, stream, position)
 
     async def cancel(self, request: web.Request) -> web.Response:
-        """Drop a stream, unless a newer attempt has taken it up."""
+        """Drop a stream, unless a newer attempt has resumed it."""
         stream = self._streams_by_id.get(request.match_info["id"])
         attempt = int(request.query["attempt"])
         if stream and stream.attempt <= attempt and not self.control.ignore_cancel:
@@ -195,18 +202,18 @@
         return web.json_response({})
 
     async def load(self, request: web.Request) -> web.Response:
-        """Answer with a load report that lags; its step counter does not."""
+        """Return the lagging load report with the current step counter."""
         row = {"step": self._steps, "draining": self.control.draining}
         return web.json_response(self._find_report() | row)
 
     async def cache_events(self, request: web.Request) -> web.Response:
-        """Answer with the cache events after a number; old ones are gone."""
+        """Return the cache events after a number; only the latest 1000 are kept."""
         after = int(request.query.get("after", "0"))
         rows = [row for row in self._cache_events if row["number"] > after]
         return web.json_response(rows)
 
     async def order(self, request: web.Request) -> web.Response:
-        """Carry out an order, unless its fence is old and fences are checked."""
+        """Execute an order; reject an old fence if fences are checked."""
         order = msgspec.json.decode(await request.read(), type=Order)
         if self._checks_fencing and order.fence < self._fence:
             raise web.HTTPConflict(text=str(self._fence))
@@ -220,29 +227,31 @@
         return await self.state(request)
 
     async def state(self, request: web.Request) -> web.Response:
-        """Answer with the role and the loaded versions."""
+        """Return the role, the loaded versions and the highest fence received."""
         row = {"role": self._role, "loaded": sorted(self._loaded), "fence": self._fence}
         return web.json_response(row)
 
     async def read_control(self, request: web.Request) -> web.Response:
-        """Answer with what the engine counted."""
-        is_open = sum(not s.finished for s in self._streams_by_id.values())
-        return web.json_response(self.stats | {"open": is_open, "fence": self._fence})
+        """Return the engine's counters, open streams and highest fence."""
+        open_streams = sum(not s.finished for s in self._streams_by_id.values())
+        return web.json_response(
+            self.stats | {"open": open_streams, "fence": self._fence}
+        )
 
     async def write_control(self, request: web.Request) -> web.Response:
-        """Set the switches."""
+        """Replace the faults to inject."""
         self.control = msgspec.json.decode(await request.read(), type=Control)
         return web.json_response({})
 
     def _find_report(self) -> dict[str, int]:
-        """Return the newest report that is as old as the lag."""
+        """Return the newest load report that is at least ``report_lag`` old."""
         until = time.monotonic() - self._report_lag
         while len(self._reports) > 1 and self._reports[1][0] <= until:
             self._reports.popleft()
-        shown = {"running": 0, "queued": 0}
+        report = {"running": 0, "queued": 0}
         if self._reports and self._reports[0][0] <= until:
-            shown = self._reports[0][1]
-        return shown
+            report = self._reports[0][1]
+        return report
 
     def _describe_load(self, load: dict[str, int]) -> str:
         draining = int(self.control.draining)
@@ -271,12 +280,12 @@
         return stream
 
     def _prefill(self, body: Body) -> int:
-        """Return how many tokens must be read, and keep the prefix cached."""
-        tokens = len(body.prompt) // CHARACTERS_A_TOKEN + len(body.prior_token_ids)
+        """Cache the prompt's prefix; return the number of tokens to prefill."""
+        tokens = len(body.prompt) // CHARACTERS_PER_TOKEN + len(body.prior_token_ids)
         prefix = body.prompt[:PREFIX_CHARACTERS]
         if prefix in self._prefixes:
             self.stats["prefix_hits"] += 1
-            tokens -= len(body.prompt) // CHARACTERS_A_TOKEN
+            tokens -= len(body.prompt) // CHARACTERS_PER_TOKEN
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
         number = self._cache_events[-1]["number"] + 1 if self._cache_events else 1
@@ -305,7 +314,7 @@
                 sent += len(events)
                 if events:
                     await response.write(b"".join(events))
-                if self._should_break(stream):
+                if self._should_drop_connection(stream):
                     await response.write(b'data: {"choices":[{"in')
                     request.transport.abort()
                     return response
@@ -320,7 +329,7 @@
                 stream.detached_at = time.monotonic()
         return response
 
-    def _should_break(self, stream: Stream) -> bool:
+    def _should_drop_connection(self, stream: Stream) -> bool:
         drop_at = self.control.drop_at
         if drop_at is None or self.control.only not in stream.body.prompt:
             return False
@@ -342,7 +351,7 @@
             running = self._pick_batch(now)
             for stream in running:
                 self._advance(stream)
-            self._forget(now)
+            self._drop_expired(now)
             waiting = sum(not s.finished for s in self._streams_by_id.values())
             report = {"running": len(running), "queued": waiting - len(running)}
             self._reports.append((now, report))
@@ -372,11 +381,11 @@
             self.stats["generated"] += 1
             if len(stream.token_ids) >= stream.body.max_tokens:
                 reason = "length"
-        text, stopped = _take_text(stream, at_end=reason is not None)
+        text, stopped = _cut_text(stream, at_end=reason is not None)
         if stopped:
             reason = "stop"
         self._emit(stream, position, event_ids, text, reason)
-        self._fail_if_told(stream)
+        self._inject_fault(stream)
 
     def _emit(
         self,
@@ -396,7 +405,7 @@
         }
         event = {"object": "text_completion", "choices": [choice]}
         if reason is not None:
-            prompt_tokens = len(stream.body.prompt) // CHARACTERS_A_TOKEN
+            prompt_tokens = len(stream.body.prompt) // CHARACTERS_PER_TOKEN
             event["usage"] = {"prompt_tokens": prompt_tokens}
             stream.finished = True
             stream.finished_at = time.monotonic()
@@ -404,7 +413,7 @@
         stream.events.append(b"data: %b\n\n" % msgspec.json.encode(event))
         stream.grew.set()
 
-    def _fail_if_told(self, stream: Stream) -> None:
+    def _inject_fault(self, stream: Stream) -> None:
         if self.control.only not in stream.body.prompt:
             return
         position = len(stream.token_ids)
@@ -414,7 +423,7 @@
             self.control.freeze_at = None
             os.kill(os.getpid(), signal.SIGSTOP)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for stream in list(self._streams_by_id.values()):
             lost = stream.detached_at and now - stream.detached_at > self._hold
             done = stream.finished and now - stream.finished_at > self._hold
@@ -429,9 +438,9 @@
 
 
 def _count_sendable(stream: Stream) -> int:
-    """Return how many characters may be sent: none that may begin a stop string."""
+    """Return the length of the text that cannot be the start of a stop string."""
     text = stream.text
-    held_back = max(
+    withheld = max(
         (
             size
             for stop in stream.body.stop
@@ -440,11 +449,11 @@
         ),
         default=0,
     )
-    return len(text) - held_back
+    return len(text) - withheld
 
 
-def _take_text(stream: Stream, *, at_end: bool) -> tuple[str, bool]:
-    """Return the text that may now be sent, and whether a stop string ended it."""
+def _cut_text(stream: Stream, *, at_end: bool) -> tuple[str, bool]:
+    """Return the unsent text that may be sent, and whether a stop string was found."""
     found = [stream.text.find(stop, stream.text_sent) for stop in stream.body.stop]
     cuts = [position for position in found if position >= 0]
     if cuts:
@@ -464,7 +473,7 @@
 @click.option("--version", default="1")
 @click.option("--checks-fencing/--no-checks-fencing", default=True)
 def main(port: int, **options: object) -> None:
-    """Run the stand-in."""
+    """Run the engine on a port."""
     run_app(lambda: EngineStandin(**options).build_app(), port)
 
 
--- a/standins/fake_engine.py
+++ b/standins/fake_engine.py
@@ -1,4 +1,4 @@
-"""A model engine at the interface, without a process: for virtual time."""
+"""In-process implementation of the engine interface, for virtual time."""
 
 import asyncio
 import heapq
@@ -16,20 +16,21 @@
 from passtally.retry import LossKind
 
 PREFIX_CHARACTERS = 256
-CHARACTERS_A_TOKEN = 4
+CHARACTERS_PER_TOKEN = 4
 
 
 @attrs.frozen(kw_only=True)
 class EngineSpeed:
-    """How fast an engine is.
+    """Speed and capacity of an engine.
 
     Attributes:
-        step: Between two tokens of a stream that is alone.
-        crowding: The share by which each further stream slows a step.
-        prefill_rate: Prompt tokens a second, one prompt after the other.
-        max_batch: Streams that decode at once; others queue by priority.
-        prefixes: Prompt prefixes that stay cached.
-        report_lag: By how much the load report lags.
+        step: Interval between two tokens of a stream, without crowding.
+        crowding: Share of ``step`` that each running stream adds to the interval.
+        prefill_rate: Prefill speed in tokens per second; prompts are prefilled
+            one after the other.
+        max_batch: Maximum number of running streams; others queue by priority.
+        prefixes: Maximum number of cached prompt prefixes.
+        report_lag: Age of the load that is reported.
     """
 
     step: timedelta = timedelta(milliseconds=12)
@@ -42,7 +43,7 @@
 
 @attrs.define(kw_only=True)
 class EngineCounts:
-    """What an engine did."""
+    """Counters of an engine: tokens, prefix cache hits and requests."""
 
     prefilled: int = 0
     generated: int = 0
@@ -51,12 +52,12 @@
 
 
 class FakeEngine:
-    """One engine as a queue, a prefill line and a batch.
+    """Engine modelled as an admission queue, a serial prefill and a batch.
 
     Args:
-        name: Its endpoint's id.
-        clock: The clock.
-        speed: How fast it is.
+        name: Endpoint id of the engine.
+        clock: Clock that the engine's delays follow.
+        speed: Speed and capacity; the defaults of EngineSpeed if None.
     """
 
     reports_load = True
@@ -82,27 +83,27 @@
         self._reports: deque[tuple[timedelta, LoadReport]] = deque()
 
     def die(self) -> None:
-        """Lose all streams at once; refuse connections from now on."""
+        """Crash: lose all streams and refuse connections until ``restart``."""
         self.is_dead = True
         for future in list(self._open):
             _wake(future)
 
     def restart(self) -> None:
-        """Come back empty."""
+        """Accept connections again, with an empty prefix cache."""
         self.is_dead = False
         self._prefixes.clear()
 
     def freeze(self, *, mute: bool = True) -> None:
-        """Stop until thawed.
+        """Stop all streams until ``thaw``.
 
         Args:
-            mute: Whether probes get no answer either.
+            mute: Whether probes are left unanswered as well.
         """
         self.is_frozen = True
         self.is_mute = mute
 
     def thaw(self) -> None:
-        """Go on."""
+        """Resume the streams and answer probes again."""
         self.is_frozen = False
         for future in self._frozen:
             _wake(future)
@@ -111,7 +112,7 @@
     async def generate(
         self, request: GenerationRequest, attempt: Attempt, prior: Sequence[int]
     ) -> "FakeStream":
-        """Run a request, going on after the prior token ids."""
+        """Run a request, continuing after the prior token ids."""
         if self.is_dead:
             raise self._lost(LossKind.UNREACHABLE, "connect")
         self.counts.requests += 1
@@ -120,58 +121,62 @@
     async def attach(
         self, request: GenerationRequest, attempt: Attempt, *, position: int
     ) -> "FakeStream":
-        """Refuse: this engine holds no streams."""
+        """Fail: this engine keeps no streams for callers that disconnected."""
         kind = LossKind.UNREACHABLE if self.is_dead else LossKind.REFUSED
         raise self._lost(kind, "attach")
 
     async def _produce(
         self, request: GenerationRequest, prior: int
     ) -> AsyncIterator[list[TokenEvent]]:
-        await self._enter(request.priority)
+        await self._enter_batch(request.priority)
         try:
             await self._prefill(request, prior)
             for position in range(prior, request.max_tokens):
-                crowd = 1 + self.speed.crowding * self.running
-                await self._wait(self.speed.step * crowd)
+                slowdown = 1 + self.speed.crowding * self.running
+                await self._wait(self.speed.step * slowdown)
                 self.counts.generated += 1
                 yield [_make_event(request, position)]
         finally:
-            self._leave()
+            self._leave_batch()
 
     async def cancel(self, generation_id: str, attempt: int) -> None:
-        """Do nothing: a stream ends with its reader here."""
+        """Do nothing: closing a stream ends its run."""
 
     async def copy_run(self, generation_id: str, target: str) -> str:
-        """Refuse: this engine keeps no copies."""
+        """Fail: this engine makes no copies of runs."""
         raise self._lost(LossKind.REFUSED, "copy")
 
     async def drop_copy(self, replica_ref: str, target: str) -> None:
         """Do nothing: there are no copies."""
 
     async def count_waiting(self) -> int:
-        """Return how many runs are queued there."""
+        """Return the number of queued runs in the lagging load report."""
         report = await self.probe()
         if report is None:
             raise self._lost(LossKind.FROZEN, "report")
         return report.queued
 
     async def list_cached_prompts(self) -> tuple[str, ...]:
-        """Return the prompts that it keeps."""
+        """Return no prompts: this engine does not report its cache."""
         return ()
 
     async def is_reachable(self) -> bool:
-        """Return whether it answers a probe."""
+        """Return whether the engine answers a probe."""
         return await self.probe() is not None
 
     async def probe(self) -> LoadReport | None:
-        """Return a load report that lags, or None while frozen or dead."""
+        """Return a lagging load report, or None while dead or frozen and mute."""
         if self.is_dead or (self.is_frozen and self.is_mute):
             await self._clock.sleep(PROBE_TIMEOUT)
             return None
         return self._report()
 
     def _report(self) -> LoadReport:
-        """Return the newest load that is as old as the lag."""
+        """Return the newest recorded load that is as old as the lag.
+
+        The step counter is current. Without a load that old, the oldest one is
+        returned.
+        """
         now = self._clock.monotonic()
         step = int(now / self.speed.step)
         current = LoadReport(running=self.running, queued=len(self._queue), step=step)
@@ -179,18 +184,18 @@
         until = now - self.speed.report_lag
         while len(self._reports) > 1 and self._reports[1][0] <= until:
             self._reports.popleft()
-        shown = self._reports[0][1]
-        return LoadReport(running=shown.running, queued=shown.queued, step=step)
+        lagging = self._reports[0][1]
+        return LoadReport(running=lagging.running, queued=lagging.queued, step=step)
 
-    async def _enter(self, priority: int) -> None:
+    async def _enter_batch(self, priority: int) -> None:
         if self.running < self.speed.max_batch:
             self.running += 1
             return
         future = asyncio.get_running_loop().create_future()
         heapq.heappush(self._queue, (priority, next(self._numbers), future))
-        await self._outlive(future)
+        await self._wait_alive(future)
 
-    def _leave(self) -> None:
+    def _leave_batch(self) -> None:
         while self._queue:
             _, _, future = heapq.heappop(self._queue)
             if not future.done():
@@ -199,11 +204,11 @@
         self.running -= 1
 
     async def _prefill(self, request: GenerationRequest, prior: int) -> None:
-        tokens = len(request.prompt) // CHARACTERS_A_TOKEN + prior
+        tokens = len(request.prompt) // CHARACTERS_PER_TOKEN + prior
         prefix = request.prompt[:PREFIX_CHARACTERS]
         if prefix in self._prefixes:
             self.counts.prefix_hits += 1
-            tokens -= len(prefix) // CHARACTERS_A_TOKEN
+            tokens -= len(prefix) // CHARACTERS_PER_TOKEN
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
         if len(self._prefixes) > self.speed.prefixes:
@@ -216,21 +221,21 @@
         await self._wait(self._prefill_free_at - now)
 
     async def _wait(self, duration: timedelta) -> None:
-        """Let time pass, and more while frozen; end at once when it dies."""
+        """Wait for a duration and while frozen; raise at once on a crash."""
         loop = asyncio.get_running_loop()
         future = loop.create_future()
         timer = loop.call_later(duration.total_seconds(), _wake, future)
         try:
-            await self._outlive(future)
+            await self._wait_alive(future)
         finally:
             timer.cancel()
         if self.is_frozen:
             thawed = loop.create_future()
             self._frozen.append(thawed)
-            await self._outlive(thawed)
+            await self._wait_alive(thawed)
 
-    async def _outlive(self, future: "asyncio.Future[None]") -> None:
-        """Wait for a future, unless this engine dies before."""
+    async def _wait_alive(self, future: "asyncio.Future[None]") -> None:
+        """Wait for a future; raise AttemptLostError if the engine crashes first."""
         self._open.add(future)
         try:
             await future
@@ -244,11 +249,11 @@
 
 
 class FakeStream:
-    """The output of one attempt, from a generator.
+    """Output of one attempt, read from a generator.
 
     Args:
-        events: Yields what arrives together.
-        report: The load report that comes with it.
+        events: Generator of the batches of events that arrive together.
+        report: Load report sent with the start of the stream.
     """
 
     def __init__(
@@ -259,11 +264,11 @@
         self._closing: asyncio.Task[None] | None = None
 
     async def read(self) -> list[TokenEvent]:
-        """Return the events that arrived together; none once it has ended."""
+        """Return the next batch of events, or an empty list at the end."""
         return await anext(self._events, [])
 
     def close(self) -> None:
-        """End the generator, so that it leaves its engine."""
+        """Close the generator, so that its run leaves the engine's batch."""
         self._closing = asyncio.ensure_future(self._events.aclose())
 
 
@@ -278,7 +283,7 @@
 
 
 def expected_text(tokens: int) -> str:
-    """Return the whole answer of so many tokens."""
+    """Return the complete answer with a given number of tokens."""
     return "".join(text_of(position) for position in range(tokens))
 
 
@@ -287,15 +292,15 @@
     return TokenEvent(
         position=position,
         token_ids=[position],
-        text_offset=_offset_of(position),
+        text_offset=_text_offset(position),
         text=text_of(position),
         finish_reason="length" if is_last else None,
-        prompt_tokens=len(request.prompt) // CHARACTERS_A_TOKEN,
+        prompt_tokens=len(request.prompt) // CHARACTERS_PER_TOKEN,
     )
 
 
-def _offset_of(position: int) -> int:
-    """Return how many characters stand before a position."""
+def _text_offset(position: int) -> int:
+    """Return the number of characters before a token position."""
     offset, digits, start = 0, 1, 0
     while position > start:
         end = min(position, 10**digits)
--- a/standins/link.py
+++ b/standins/link.py
@@ -1,6 +1,7 @@
-"""A link between failure domains: passes bytes on until it is stopped.
+"""TCP proxy that stands for the network link between two failure domains.
 
-Stopped by SIGSTOP it swallows what is sent, as a cut network does; SIGCONT heals it.
+While stopped by SIGSTOP, it forwards nothing but connections stay open, as in a
+network partition. SIGCONT ends the partition.
 """
 
 import asyncio
@@ -10,7 +11,7 @@
 CHUNK_BYTES = 1 << 16
 
 
-async def _pump(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def _forward(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     try:
         while chunk := await reader.read(CHUNK_BYTES):
             writer.write(chunk)
@@ -22,17 +23,21 @@
 
 
 async def _serve(port: int, target: int) -> None:
-    async def pass_on(
+    async def forward_connection(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            far_reader, far_writer = await asyncio.open_connection("127.0.0.1", target)
+            target_reader, target_writer = await asyncio.open_connection(
+                "127.0.0.1", target
+            )
         except OSError:
             writer.close()
             return
-        await asyncio.gather(_pump(reader, far_writer), _pump(far_reader, writer))
+        await asyncio.gather(
+            _forward(reader, target_writer), _forward(target_reader, writer)
+        )
 
-    server = await asyncio.start_server(pass_on, "127.0.0.1", port)
+    server = await asyncio.start_server(forward_connection, "127.0.0.1", port)
     await server.serve_forever()
 
 
@@ -40,7 +45,7 @@
 @click.option("--port", type=int, required=True)
 @click.option("--target", type=int, required=True)
 def main(port: int, target: int) -> None:
-    """Run the link."""
+    """Forward connections from a port to a target port on this machine."""
     asyncio.run(_serve(port, target))
 
 
--- a/standins/model.py
+++ b/standins/model.py
@@ -1,8 +1,9 @@
-"""The stand-in engine's model: token ids, text, and what comes next.
+"""Tokenizer and sampler of the stand-in engine.
 
-A token is up to three ASCII bytes or one other byte, so it may be half a
-character. The output tidies the prompt's lines. With a temperature above zero,
-the case of each word is also varied at random, so that no two runs agree.
+A token is up to three ASCII bytes or one other byte, so a token may be part of a
+character. The output is the prompt with normalized spaces, title case and no empty
+lines. At a temperature above zero the case of each word is also random, so that
+two runs differ.
 """
 
 import random
@@ -10,20 +11,20 @@
 
 _PIECE_BYTES = 3
 _BYTE_IDS = 256
-_WRONG = int.from_bytes(b"\x01?!?")
-_MAX_WRONG = 10_000
+_WRONG_TOKEN = int.from_bytes(b"\x01?!?")
+_MAX_WRONG_TOKENS = 10_000
 _VARIANTS = (str.upper, str.lower, str.title)
 
 
 def tokenize(text: str) -> list[int]:
-    """Return the token ids of a text: pieces of ASCII bytes, or single bytes."""
+    """Return the token ids of a text: up to three ASCII bytes or one byte each."""
     data = text.encode()
     token_ids: list[int] = []
     index = 0
     while index < len(data):
         piece = data[index : index + _PIECE_BYTES]
         if len(piece) > 1 and piece.isascii():
-            # A leading 1 keeps the piece's length in its number.
+            # The leading 1 byte encodes the length of the piece in its id.
             token_ids.append(int.from_bytes(b"\x01" + piece))
         else:
             piece = piece[:1]
@@ -33,7 +34,7 @@
 
 
 def detokenize(token_ids: Sequence[int]) -> bytes:
-    """Return the bytes of some token ids, perhaps ending within a character."""
+    """Return the bytes of token ids; they may end within a character."""
     return b"".join(_bytes_of(token_id) for token_id in token_ids)
 
 
@@ -50,12 +51,12 @@
 
 
 class Sampler:
-    """Gives one stream its next tokens.
+    """Source of the tokens of one stream.
 
     Args:
-        prompt: The prompt.
-        temperature: Above zero, words vary at random.
-        prior: Tokens of the answer that are there already.
+        prompt: Prompt that the answer is derived from.
+        temperature: Sampling temperature; above zero the case of words is random.
+        prior: Token ids of the answer that earlier attempts produced.
     """
 
     def __init__(
@@ -67,13 +68,13 @@
             text = " ".join(rng.choice(_VARIANTS)(word) for word in text.split(" "))
         self._target = tokenize(text)
         sampled = temperature > 0
-        self._is_sane = sampled or list(prior) == self._target[: len(prior)]
+        self._is_prior_valid = sampled or list(prior) == self._target[: len(prior)]
 
     def next_token(self, position: int) -> int | None:
         """Return the token at a position, or None at the answer's end."""
-        if not self._is_sane:
-            # A wrong continuation must show in the text.
-            return _WRONG if position < _MAX_WRONG else None
+        if not self._is_prior_valid:
+            # A prior that does not match the answer must be visible in the text.
+            return _WRONG_TOKEN if position < _MAX_WRONG_TOKENS else None
         if position >= len(self._target):
             return None
         return self._target[position]
--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the users' object store: kinds, revisions, watches and faults."""
+"""Stand-in for the object store: kinds, revisions, watches and injected faults."""
 
 import asyncio
 from typing import Any
@@ -6,12 +6,13 @@
 import attrs
 from aiohttp import web
 
+#: Default number of objects on one page of a listing.
 PAGE = 500
 
 
 @attrs.frozen(kw_only=True)
 class StoreCopy:
-    """All that the store held at one moment."""
+    """Backup of the store: its objects and its revision at one moment."""
 
     revision: int
     items: dict[tuple[str, str], dict[str, Any]]
@@ -26,18 +27,20 @@
 
 
 class ObjectStoreStandIn:
-    """Keeps objects in memory and serves them over HTTP.
+    """In-memory object store that is served over HTTP.
 
     Attributes:
-        page: How many objects one page of a listing holds.
-        refusal: A status with which every call is refused, or None.
-        is_silent: Whether calls get no answer.
-        is_deaf: Whether watches hear nothing.
-        list_delay: How long a listing takes, in seconds.
-        calls: How many calls were made.
-        listings: How many listings are under way.
-        statuses: The statuses that were written, of any object.
-        era: How often it came back from a copy, told in all answers; None to tell none.
+        page: Number of objects on one page of a listing.
+        refusal: HTTP status that rejects every call, or None.
+        is_silent: Whether calls get no response.
+        is_deaf: Whether watches return no events and never advance.
+        list_delay: Duration of a listing, in seconds.
+        calls: Number of calls received.
+        listings: Number of listings in progress.
+        revision: Revision of the latest change.
+        statuses: All object statuses that were written, in order.
+        era: Number that increases whenever a copy is restored, sent with every
+            response; None if the store sends no era.
     """
 
     def __init__(self) -> None:
@@ -58,8 +61,8 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> int:
-        """Listen on the loopback and return the port."""
-        app = web.Application(middlewares=[self._tell_era])
+        """Listen on a free loopback port and return the port."""
+        app = web.Application(middlewares=[self._add_era_header])
         app.router.add_get("/api/objects/{kind}", self._serve)
         app.router.add_put("/api/objects/{kind}/{name}/status", self._put_status)
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
@@ -69,12 +72,12 @@
         return self._runner.addresses[0][1]
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop listening and close all connections."""
         if self._runner is not None:
             await self._runner.cleanup()
 
     def put(self, kind: str, name: str, spec: Any) -> None:
-        """Create or replace an object."""
+        """Create an object, or replace its spec and keep its status."""
         known = self._items.get((kind, name), {})
         self._store(kind, name, spec, status=known.get("status"))
 
@@ -86,30 +89,34 @@
             "status": status,
         }
         self._items[kind, name] = item
-        self._note(_Change(revision=self.revision, kind=kind, item=item, removed=False))
+        self._append_change(
+            _Change(revision=self.revision, kind=kind, item=item, removed=False)
+        )
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object, if it is there."""
+        """Remove an object if it exists."""
         item = self._items.pop((kind, name), None)
         if item is None:
             return
         self.revision += 1
         metadata = item["metadata"] | {"revision": self.revision}
         item = item | {"metadata": metadata}
-        self._note(_Change(revision=self.revision, kind=kind, item=item, removed=True))
+        self._append_change(
+            _Change(revision=self.revision, kind=kind, item=item, removed=True)
+        )
 
     def forget_history(self) -> None:
-        """Drop all changes; watches from before get 410."""
+        """Drop the change history; watches from an earlier revision get 410."""
         self._changes.clear()
         self._oldest = self.revision
         self._wake()
 
     def copy(self) -> StoreCopy:
-        """Return all that it holds now."""
+        """Return a copy of all objects and the revision."""
         return StoreCopy(revision=self.revision, items=dict(self._items))
 
     def come_back(self, copy: StoreCopy) -> None:
-        """Hold what a copy holds; what was written since is gone."""
+        """Restore a copy; writes since then are lost and the era increases."""
         self.revision, self._items = copy.revision, dict(copy.items)
         self._changes = [
             change for change in self._changes if change.revision <= copy.revision
@@ -118,7 +125,7 @@
             self.era += 1
         self._wake()
 
-    def _note(self, change: _Change) -> None:
+    def _append_change(self, change: _Change) -> None:
         self._changes.append(change)
         self._wake()
 
@@ -127,7 +134,9 @@
         self._changed = asyncio.Event()
 
     @web.middleware
-    async def _tell_era(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _add_era_header(
+        self, request: web.Request, handler: Any
+    ) -> web.StreamResponse:
         response = await handler(request)
         if self.era is not None:
             response.headers["Store-Era"] = str(self.era)
@@ -176,7 +185,7 @@
     async def _watch(self, kind: str, request: web.Request) -> web.Response:
         after = int(request.query["watch"])
         wait = int(request.query.get("wait_ms", "0")) / 1000
-        until = asyncio.get_running_loop().time() + wait
+        deadline = asyncio.get_running_loop().time() + wait
         while True:
             if after < self._oldest or after > self.revision:
                 return web.Response(status=410)
@@ -185,8 +194,8 @@
                 for change in self._changes
                 if change.kind == kind and change.revision > after
             ]
-            left = until - asyncio.get_running_loop().time()
-            if (events and not self.is_deaf) or left <= 0:
+            remaining = deadline - asyncio.get_running_loop().time()
+            if (events and not self.is_deaf) or remaining <= 0:
                 return web.json_response(
                     {
                         "events": [] if self.is_deaf else events,
@@ -194,6 +203,6 @@
                     }
                 )
             try:
-                await asyncio.wait_for(self._changed.wait(), left)
+                await asyncio.wait_for(self._changed.wait(), remaining)
             except TimeoutError:
                 continue
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform's object API; docs/PLATFORM.md has its protocol.
+"""Stand-in for the platform's object API; docs/PLATFORM.md describes the protocol.
 
-It keeps everything in memory and counts each call. ``PUT /control`` turns its
-failures on and off.
+It keeps all objects in memory and counts calls by kind. ``PUT /control`` sets the
+faults to inject.
 """
 
 import asyncio
@@ -16,21 +16,22 @@
 
 from standins.serving import run_app
 
-CHANGES_KEPT = 20_000
+MAX_CHANGES = 20_000
 MAX_VALUE_BYTES = 1 << 20
 
 
 class Control(msgspec.Struct, kw_only=True):
-    """The switches.
+    """Faults to inject, set by ``PUT /control``.
 
     Attributes:
-        outage: Whether every call fails.
-        latency: Seconds added to each call.
-        lose_answers: How many of the next writes take effect unanswered.
-        hosts_lag: Seconds by which the host list lags.
-        writes_per_second: The write rate, or 0 for none.
-        reads_per_second: The read rate, or 0 for none.
-        forget_changes: Whether running watches are now told "too old".
+        outage: Whether every call fails with 503.
+        latency: Latency added to each call, in seconds.
+        lose_answers: Number of next writes that take effect but get no response.
+        hosts_lag: Age of the host list that is returned, in seconds.
+        writes_per_second: Limit of the write rate, or 0 for no limit.
+        reads_per_second: Limit of the read rate, or 0 for no limit.
+        forget_changes: Whether the change history is dropped now, so that running
+            watches get 410 (Gone).
     """
 
     outage: bool = False
@@ -44,7 +45,7 @@
 
 @attrs.define
 class Stored:
-    """One object."""
+    """Version and value of one object."""
 
     version: int
     value: bytes
@@ -52,13 +53,13 @@
 
 @attrs.define
 class Rate:
-    """Counts the calls of the running second."""
+    """Rate limiter that counts the calls in the current second."""
 
     second: int = 0
     used: int = 0
 
     def take(self, limit: int) -> bool:
-        """Return whether one more call is within the limit."""
+        """Count a call and return whether it is within the limit; 0 is no limit."""
         second = int(time.monotonic())
         if second != self.second:
             self.second, self.used = second, 0
@@ -67,13 +68,13 @@
 
 
 class PlatformStandin:
-    """The object store and its HTTP handlers."""
+    """Object store, host list and HTTP handlers."""
 
     def __init__(self) -> None:
         self.control = Control()
         self.version = 0
         self.objects_by_key: dict[str, Stored] = {}
-        self.changes: deque[tuple[int, str, bytes | None]] = deque(maxlen=CHANGES_KEPT)
+        self.changes: deque[tuple[int, str, bytes | None]] = deque(maxlen=MAX_CHANGES)
         self.calls: Counter[str] = Counter()
         self.hosts: list[tuple[float, dict[str, str]]] = []
         self._changed = asyncio.Condition()
@@ -95,7 +96,7 @@
         return app
 
     async def list_objects(self, request: web.Request) -> web.Response:
-        """Answer a list."""
+        """Return the objects whose keys start with a prefix."""
         await self._admit("list", self._reads, self.control.reads_per_second)
         prefix = request.query.get("prefix", "")
         rows = [
@@ -106,7 +107,7 @@
         return _listing(self.version, rows)
 
     async def get(self, request: web.Request) -> web.Response:
-        """Answer a read."""
+        """Return one object, or 404."""
         await self._admit("get", self._reads, self.control.reads_per_second)
         key = request.match_info["key"]
         stored = self.objects_by_key.get(key)
@@ -115,7 +116,7 @@
         return _json(_row(key, stored.version, stored.value))
 
     async def put(self, request: web.Request) -> web.Response:
-        """Answer a conditional write."""
+        """Write an object if its If-Match or If-None-Match condition holds."""
         value = await request.read()
         await self._admit("write", self._writes, self.control.writes_per_second)
         key = request.match_info["key"]
@@ -123,20 +124,23 @@
             raise web.HTTPRequestEntityTooLarge(MAX_VALUE_BYTES, len(value))
         self._check_version(request, key)
         version = await self._store(key, value)
-        await self._answer_or_lose(request)
+        await self._drop_answer_if_set(request)
         return _json({"version": version})
 
     async def delete(self, request: web.Request) -> web.Response:
-        """Answer a conditional removal."""
+        """Remove an object if its If-Match condition holds."""
         await self._admit("write", self._writes, self.control.writes_per_second)
         key = request.match_info["key"]
         self._check_version(request, key)
         await self._store(key, None)
-        await self._answer_or_lose(request)
+        await self._drop_answer_if_set(request)
         return _json({})
 
     async def watch(self, request: web.Request) -> web.Response:
-        """Answer a watch once there are changes, or after its timeout."""
+        """Return the changes after a version, at the latest when the timeout expires.
+
+        A version older than the change history gets 410 (Gone).
+        """
         await self._admit("watch", self._reads, self.control.reads_per_second)
         prefix = request.query.get("prefix", "")
         after = int(request.query["after"])
@@ -147,37 +151,37 @@
             if self.changes and after < self.changes[0][0] - 1:
                 raise web.HTTPGone
             rows = self._changes_after(prefix, after)
-            left = deadline - time.monotonic()
-            if rows or left <= 0:
+            remaining = deadline - time.monotonic()
+            if rows or remaining <= 0:
                 return _listing(self.version, rows)
             async with self._changed:
                 try:
-                    await asyncio.wait_for(self._changed.wait(), min(left, 1.0))
+                    await asyncio.wait_for(self._changed.wait(), min(remaining, 1.0))
                 except TimeoutError:
                     continue
 
     async def list_hosts(self, request: web.Request) -> web.Response:
-        """Answer with the hosts as they were a while ago."""
+        """Return the host list as of ``hosts_lag`` seconds ago."""
         await self._admit("hosts", self._reads, self.control.reads_per_second)
-        shown: dict[str, dict[str, str]] = {}
+        hosts_by_id: dict[str, dict[str, str]] = {}
         until = time.monotonic() - self.control.hosts_lag
         for at, row in self.hosts:
             if at <= until:
-                shown[row["id"]] = row
-        return _json(list(shown.values()))
+                hosts_by_id[row["id"]] = row
+        return _json(list(hosts_by_id.values()))
 
     async def put_host(self, request: web.Request) -> web.Response:
-        """Set one line of the host list."""
+        """Add or replace a host in the host list."""
         row = await request.json()
         self.hosts.append((time.monotonic(), row | {"id": request.match_info["id"]}))
         return _json({})
 
     async def read_control(self, request: web.Request) -> web.Response:
-        """Answer with the switches and the calls counted."""
+        """Return the number of calls by kind and the current version."""
         return _json({"calls": dict(self.calls), "version": self.version})
 
     async def write_control(self, request: web.Request) -> web.Response:
-        """Set the switches; those that are not named go back to normal."""
+        """Replace the faults to inject; fields left out get their defaults."""
         self.control = msgspec.json.decode(await request.read(), type=Control)
         if self.control.forget_changes:
             self.changes.clear()
@@ -217,7 +221,7 @@
             self._changed.notify_all()
         return self.version
 
-    async def _answer_or_lose(self, request: web.Request) -> None:
+    async def _drop_answer_if_set(self, request: web.Request) -> None:
         if self.control.lose_answers > 0:
             self.control.lose_answers -= 1
             request.transport.abort()
@@ -250,7 +254,7 @@
 @click.command()
 @click.option("--port", type=int, required=True)
 def main(port: int) -> None:
-    """Run the stand-in."""
+    """Run the object API on a port."""
     run_app(PlatformStandin().build_app, port)
 
 
--- a/standins/platform_config.py
+++ b/standins/platform_config.py
@@ -1,4 +1,4 @@
-"""A configuration as the users' operators write it, for tests and the soak."""
+"""Configuration in the format that operators write, for tests and the soak."""
 
 from typing import Any
 
@@ -9,7 +9,12 @@
 
 
 def make_config(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a configuration with a stream route and two routes for calls."""
+    """Return a configuration with a stream route and two routes for calls.
+
+    Args:
+        version: Version number of the configuration.
+        changes: Top-level fields that replace the defaults.
+    """
 
     def route(name: str, prefix: str, kind: str, service: str, **fields: Any) -> dict:
         return {
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -31,7 +31,11 @@
 
 @attrs.define
 class Process:
-    """One running process and where it listens."""
+    """Running process with its base URL.
+
+    ``ready_path`` answers 200 once the process is ready; empty if an open port is
+    enough.
+    """
 
     name: str
     url: str
@@ -39,28 +43,28 @@
     ready_path: str
 
     def signal(self, number: int) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it without notice."""
+        """Send SIGKILL and wait for the exit."""
         self.popen.send_signal(signal.SIGKILL)
         self.popen.wait()
 
     def control(self, **switches: Any) -> None:
-        """Set a stand-in's switches."""
+        """Set the faults that a stand-in injects."""
         call_json("PUT", f"{self.url}/control", switches)
 
     def counts(self) -> dict[str, Any]:
-        """Return what a stand-in counted."""
+        """Return the counters of a stand-in."""
         return call_json("GET", f"{self.url}/control")
 
 
 class Processes:
-    """Starts processes on loopback and stops them all at the end.
+    """Process group on loopback; leaving the context kills all processes.
 
     Args:
-        folder: Where their logs go.
+        folder: Directory for the logs of the processes.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -78,7 +82,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """Kill whatever still runs."""
+        """Kill all processes that still run, including suspended ones."""
         for process in self.by_name.values():
             if process.popen.poll() is None:
                 process.signal(signal.SIGCONT)
@@ -86,25 +90,25 @@
                 process.popen.wait()
 
     def start_platform(self) -> Process:
-        """Start the platform's stand-in."""
+        """Start the stand-in for the platform."""
         self.platform = self._start_standin("platform", "platform")
         return self.platform
 
     def start_engine(self, name: str, **options: Any) -> Process:
-        """Start an engine's stand-in."""
+        """Start a stand-in for an engine; options become command-line flags."""
         flags = [f"--{key.replace('_', '-')}={value}" for key, value in options.items()]
         return self._start_standin(name, "engine", *flags)
 
     def start_booking(self, name: str) -> Process:
-        """Start a booking service's stand-in."""
+        """Start a stand-in for a booking service."""
         return self._start_standin(name, "booking")
 
     def start_hosts(self, domains_by_host: dict[str, str], **settings: Any) -> None:
-        """Start entry hosts that know each other.
+        """Start entry hosts that are configured as peers of each other.
 
         Args:
-            domains_by_host: Their names and failure domains.
-            settings: More settings, by name.
+            domains_by_host: Failure domain of each host, by host name.
+            settings: Additional settings of all hosts, by name.
         """
         for name in domains_by_host:
             self._peer_ports.setdefault(name, free_port())
@@ -113,7 +117,7 @@
             self.start_one_of_hosts(name, **settings)
 
     def start_one_of_hosts(self, name: str, **settings: Any) -> Process:
-        """Start one of the hosts that know each other, as new."""
+        """Start or restart one host of the group passed to ``start_hosts``."""
         domains = self._domains_by_host
         peers = ",".join(
             f"{peer}@{domains[peer]}=127.0.0.1:{self._peer_ports[peer]}"
@@ -128,9 +132,9 @@
         """Start one entry host.
 
         Args:
-            name: Its name.
-            failure_domain: Where it stands.
-            settings: More settings, by name.
+            name: Host id.
+            failure_domain: Failure domain of the host.
+            settings: Additional settings, by name; they override the defaults.
         """
         port = free_port()
         texts = {
@@ -149,7 +153,7 @@
         return self.start(name, command, port, "/readyz")
 
     def wait_ready(self) -> None:
-        """Wait until all processes answer and all hosts have the newest config."""
+        """Wait until all running processes answer and hosts have the newest config."""
         for process in self.by_name.values():
             if process.popen.poll() is None:
                 self._wait_for(process)
@@ -165,15 +169,17 @@
         deadline = time.monotonic() + START_SECONDS
         while time.monotonic() < deadline:
             if process.popen.poll() is not None:
-                raise RuntimeError(f"{process.name} ended: {process.popen.returncode}")
+                raise RuntimeError(
+                    f"{process.name} exited with status {process.popen.returncode}"
+                )
             state = _read_state(process)
             if state is not None and state.get("config_version", 0) >= wanted:
                 return
             time.sleep(POLL_SECONDS)
-        raise RuntimeError(f"{process.name} is not ready")
+        raise RuntimeError(f"{process.name} is not ready after {START_SECONDS} s")
 
     def add_workspace(self, name: str, **options: Any) -> str:
-        """Create a workspace; return its callers' token."""
+        """Create a workspace and return its bearer token."""
         token = f"token-of-{name}"
         workspace = Workspace(id=name, token_sha256=digest_token(token), **options)
         self.put_config("workspaces", name, workspace)
@@ -190,10 +196,10 @@
         """Create a model service and its endpoints, with their failure domains.
 
         Args:
-            name: The service's id.
-            engines: Its engines, each with its failure domain.
-            protection: The service's level of protection.
-            options: More fields of its endpoints.
+            name: Id of the service and name of the model.
+            engines: Engine processes, each with its failure domain.
+            protection: Protection level of the service.
+            options: Additional fields of the endpoints.
         """
         service = Service(
             id=name,
@@ -209,7 +215,10 @@
     def add_plain(
         self, name: str, endpoints: list[tuple[Process, str]], **options: Any
     ) -> None:
-        """Create a plain service and its endpoints, with their failure domains."""
+        """Create a plain service and its endpoints, with their failure domains.
+
+        The options are additional fields of the service.
+        """
         service = Service(id=name, kind=ServiceKind.PLAIN, **options)
         self.put_config("services", name, service)
         self._add_endpoints(name, endpoints)
@@ -235,13 +244,14 @@
     def start(
         self, name: str, command: list[str], port: int, ready_path: str = ""
     ) -> Process:
-        """Start any process.
+        """Start a process and register it under its name.
 
         Args:
-            name: Its name.
-            command: What to run.
-            port: Where it will listen.
-            ready_path: What answers 200 once it is ready; empty for the port alone.
+            name: Name of the process and of its log file.
+            command: Command line.
+            port: Loopback port that the command listens on.
+            ready_path: Path that answers 200 once the process is ready; empty if
+                an open port is enough.
         """
         with open(self.folder / f"{name}.err", "ab") as errors:
             popen = subprocess.Popen(command, stdout=errors, stderr=errors)
@@ -252,7 +262,7 @@
 
 
 def _read_state(process: Process) -> dict[str, Any] | None:
-    """Return what a process says of itself, or None while it is not ready."""
+    """Return the readiness response of a process, or None while it is not ready."""
     try:
         if process.ready_path:
             return call_json("GET", process.url + process.ready_path)
@@ -264,7 +274,7 @@
 
 
 def free_port() -> int:
-    """Return a port that was free a moment ago."""
+    """Return a loopback port that was free when it was checked."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
@@ -273,7 +283,7 @@
 def call_json(
     method: str, url: str, value: object = None, headers: dict[str, str] | None = None
 ) -> Any:
-    """Make one HTTP call with JSON both ways."""
+    """Make an HTTP call with a JSON body and return the decoded JSON response."""
     data = None if value is None else msgspec.json.encode(value)
     request = urllib.request.Request(
         url, data=data, method=method, headers=headers or {}
--- a/standins/runner.py
+++ b/standins/runner.py
@@ -1,4 +1,4 @@
-"""A stand-in for the users' endpoints: plain calls, and streams with replicas."""
+"""Stand-in for an endpoint: plain calls, and streams with replicas."""
 
 import asyncio
 import json
@@ -8,37 +8,38 @@
 import attrs
 from aiohttp import web
 
+#: Value of X-Response-Stamp, the proof that the endpoint ran the request.
 PROOF = "3e1b.07.5a2.600.0.c9f2a4d1"
 
 
 @attrs.define(kw_only=True)
 class RunnerFaults:
-    """What a stand-in does wrong.
+    """Faults that a stand-in injects.
 
     Attributes:
-        refusals: How many requests it still refuses unrun.
-        break_after: After how many events of a stream it resets the connection.
-        break_inside: Whether it breaks off inside an event.
-        hang_after: After how many events of a stream it falls silent.
-        lose_answers: How many answers of plain calls it loses after running them.
-        own_status: The status of plain answers.
-        no_proof: Whether its answers lack the proof.
-        other_id: Whether its answers carry another request's id.
-        encoding: The content encoding that its answers claim.
-        extra: Bytes sent after each plain answer.
-        unframed: Whether plain answers come without a length.
-        answer_delay: How long a plain call takes, in seconds.
-        first_delay: How long a stream's first event takes, in seconds.
-        head_delay: How long the head of an answer takes, in seconds.
-        report_delay: How long a report takes, in seconds.
-        event_bytes: How many bytes more each event of a stream has.
-        fatal_body: The body of a request that ends the endpoint when it is run; None
-            for no such request.
-        fatal_delay: How long it runs until then, in seconds.
-        limit: The requests a second that its answers name as its limit; None for none.
-        leaving: What its answers name as whether it leaves; None for nothing.
-        rest: The seconds of rest that it asks each host for that it turns away; None
-            for none. While it is set, it turns every request away.
+        refusals: Number of next requests that are rejected without running them.
+        break_after: Number of events after which a stream's connection is reset.
+        break_inside: Whether the reset comes in the middle of an event.
+        hang_after: Number of events after which a stream sends nothing more.
+        lose_answers: Number of next plain calls that run but get no response.
+        own_status: HTTP status of responses to plain calls.
+        no_proof: Whether responses lack the X-Response-Stamp header.
+        other_id: Whether responses carry the id of another request.
+        encoding: Content-Encoding header of responses; empty for none.
+        extra: Bytes sent after the body of each response to a plain call.
+        unframed: Whether responses to plain calls lack a Content-Length.
+        answer_delay: Run time of a plain call, in seconds.
+        first_delay: Delay of a stream's first event, in seconds.
+        head_delay: Delay of the response head, in seconds.
+        report_delay: Delay of a load report, in seconds.
+        event_bytes: Number of padding bytes in each event of a stream.
+        fatal_body: Body of a request that crashes the endpoint when it runs, or
+            None.
+        fatal_delay: Run time of such a request until the crash, in seconds.
+        limit: Server-Limit header of responses, in requests per second, or None.
+        leaving: Server-Leaving header of responses, or None.
+        rest: Retry-After header of rejections, in seconds, or None. While it is
+            set, every request is rejected.
     """
 
     refusals: int = 0
@@ -65,14 +66,15 @@
 
 
 class RunnerStandIn:
-    """One endpoint.
+    """Endpoint that records its requests and injects faults.
 
     Args:
-        name: Its id.
-        events: How many events a stream has.
-        gap: The time between two events, in seconds.
-        find: Returns the stand-in at an address, to keep replicas there.
-        on_crash: Called with the stand-in that a request has ended.
+        name: Endpoint id.
+        events: Number of events in a stream.
+        gap: Interval between two events, in seconds.
+        find: Function that returns the stand-in at an address, or None; replicas
+            are stored there.
+        on_crash: Callback that receives this stand-in when it crashes.
     """
 
     def __init__(
@@ -89,7 +91,7 @@
         self.gap = gap
         self.faults = RunnerFaults()
         self.requests: list[web.Request] = []
-        #: When they came, by the loop's time.
+        #: Arrival time of each request, in seconds of the event loop's time.
         self.requested_at: list[float] = []
         self.bodies: list[bytes] = []
         self.ran: list[str] = []
@@ -97,9 +99,9 @@
         self.copies: list[str] = []
         self.attached: list[str] = []
         self.prompts_read = 0
-        self.kept_parts: list[str] = []
+        self.cached_parts: list[str] = []
         self.closed_early = 0
-        #: How many requests it works on, and how many reports it was asked for.
+        #: Number of requests in progress, and number of report requests received.
         self.working = 0
         self.reports = 0
         self.address = ""
@@ -108,15 +110,15 @@
         self._on_crash = on_crash
         self._runner: web.AppRunner | None = None
         self._site: web.TCPSite | None = None
-        self._ending: asyncio.Task[None] | None = None
+        self._crash_task: asyncio.Task[None] | None = None
 
     async def start(self) -> str:
-        """Listen on the loopback and return the address."""
+        """Listen on a free loopback port and return the address."""
         app = web.Application()
         app.router.add_post("/api/kv-move", self._copy)
         app.router.add_delete("/api/kv-handle/{handle}", self._drop)
         app.router.add_get("/api/report", self._report)
-        app.router.add_get("/api/kv-events", self._tell_events)
+        app.router.add_get("/api/kv-events", self._list_cache_events)
         app.router.add_route("*", "/{path:.*}", self._serve)
         self._runner = web.AppRunner(
             app, access_log=None, shutdown_timeout=0.05, handler_cancellation=True
@@ -129,22 +131,22 @@
         return self.address
 
     async def stop(self) -> None:
-        """Stop listening, and reset what is open."""
+        """Stop listening and close all connections."""
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
 
     def crash(self) -> None:
-        """End at once, as a process that is killed: nothing is said or finished."""
+        """Reset all connections and stop, like a process that gets SIGKILL."""
         if self.is_crashed:
             return
         self.is_crashed = True
         self._reset_connections()
-        # Not within the handler that is run: it is cancelled by this.
-        self._ending = asyncio.create_task(self._end())
+        # Runs in a task of its own: closing cancels the handler that called crash().
+        self._crash_task = asyncio.create_task(self._close_after_crash())
         self._on_crash(self)
 
-    async def _end(self) -> None:
+    async def _close_after_crash(self) -> None:
         await self._site.stop()
         self._reset_connections()
         await self.stop()
@@ -155,7 +157,7 @@
                 connection.transport.abort()
 
     def entry(self, service: str, **fields: Any) -> dict[str, Any]:
-        """Return its entry in the store."""
+        """Return the endpoint's object in the store; fields override the defaults."""
         return {
             "service": service,
             "address": self.address,
@@ -176,7 +178,7 @@
             return web.Response(status=421, headers={"X-Instance-Id": self.name})
         if self.faults.refusals or self.faults.rest is not None:
             self.faults.refusals = max(self.faults.refusals - 1, 0)
-            return self._turn_away()
+            return self._reject()
         self.working += 1
         try:
             await asyncio.sleep(self.faults.head_delay)
@@ -189,24 +191,24 @@
         finally:
             self.working -= 1
 
-    def _turn_away(self) -> web.Response:
-        headers = {"X-Not-Executed": "1"} | self._words()
+    def _reject(self) -> web.Response:
+        headers = {"X-Not-Executed": "1"} | self._directives()
         if self.faults.rest is not None:
             headers["Retry-After"] = self.faults.rest
         return web.Response(status=503, headers=headers)
 
-    def _words(self) -> dict[str, str]:
-        """Return what all its answers say of itself."""
-        words = {
+    def _directives(self) -> dict[str, str]:
+        """Return the directives in the heads of all responses."""
+        directives = {
             "Server-Limit": self.faults.limit,
             "Server-Leaving": self.faults.leaving,
         }
-        return {name: value for name, value in words.items() if value is not None}
+        return {name: value for name, value in directives.items() if value is not None}
 
     def _headers(self, request: web.Request) -> dict[str, str]:
         request_id = request.headers["X-Request-Id"]
         headers = {"X-Request-Id": "other" if self.faults.other_id else request_id}
-        headers |= self._words()
+        headers |= self._directives()
         if not self.faults.no_proof:
             headers["X-Response-Stamp"] = PROOF
         if self.faults.encoding:
@@ -214,13 +216,13 @@
         return headers
 
     def is_fatal(self, body: bytes) -> bool:
-        """Return whether a request of this body ends the endpoint."""
+        """Return whether running a request with this body crashes the endpoint."""
         return body == self.faults.fatal_body
 
     async def _run_fatal(
         self, request: web.Request, *, is_stream: bool
     ) -> web.StreamResponse:
-        """Begin to run a request, and end by it."""
+        """Start to run a request and crash after ``fatal_delay``."""
         response = web.StreamResponse(headers=self._headers(request))
         await asyncio.sleep(self.faults.first_delay)
         self.ran.append(request.headers["X-Request-Id"])
@@ -264,12 +266,12 @@
         source = request.headers.get("Kv-From")
         if source is not None:
             if self.replicas.pop(source, None) is None:
-                return self._turn_away()
+                return self._reject()
             self.attached.append(request_id)
         else:
             self.prompts_read += 1
             parts = request.headers["X-Prefix-Hash"].split(",")
-            self.kept_parts += [part.partition(":")[0] for part in parts]
+            self.cached_parts += [part.partition(":")[0] for part in parts]
         replica = self._find(request.headers.get("X-Kv-Backup", ""))
         response = web.StreamResponse(
             headers=self._headers(request) | {"Content-Type": "text/event-stream"}
@@ -315,12 +317,12 @@
         if expected != self.name:
             return web.Response(status=421, headers={"X-Instance-Id": self.name})
         report = {"models": [{"name": "m"}], "queued": 0, "runs": []}
-        return web.json_response(report, headers=self._words())
+        return web.json_response(report, headers=self._directives())
 
-    async def _tell_events(self, request: web.Request) -> web.Response:
+    async def _list_cache_events(self, request: web.Request) -> web.Response:
         events = [
             [number, "+", "", part, 100, "m"]
-            for number, part in enumerate(self.kept_parts)
+            for number, part in enumerate(self.cached_parts)
         ]
         return web.json_response(
             {"epoch": 1, "next_token": len(events), "lost": False, "events": events}
@@ -335,10 +337,12 @@
         self.copies.append(order["id"])
         target.replicas[f"{self.address}/{handle}"] = 1
         answer = {"handle": handle, "created": 1}
-        return web.json_response(answer, headers=self._words())
+        return web.json_response(answer, headers=self._directives())
 
     async def _drop(self, request: web.Request) -> web.Response:
         handle = request.match_info["handle"]
-        kept = {ref: n for ref, n in self.replicas.items() if not ref.endswith(handle)}
-        self.replicas = kept
+        remaining = {
+            ref: n for ref, n in self.replicas.items() if not ref.endswith(handle)
+        }
+        self.replicas = remaining
         return web.json_response({})
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in's HTTP application."""
+"""HTTP server of the stand-ins."""
 
 from collections.abc import Callable
 
@@ -9,11 +9,11 @@
 
 
 def run_app(build: Callable[[], web.Application], port: int) -> None:
-    """Serve an application on loopback until told to stop.
+    """Serve an application on loopback until SIGINT or SIGTERM.
 
     Args:
-        build: Makes the application, within the loop.
-        port: Where it listens.
+        build: Factory of the application; it is called inside the event loop.
+        port: TCP port to listen on.
     """
 
     async def build_in_loop() -> web.Application:
--- a/standins/virtual.py
+++ b/standins/virtual.py
@@ -1,4 +1,4 @@
-"""Virtual time: a loop whose timers fire at once, in order, without waiting."""
+"""Virtual time: an event loop whose timers fire in order, without real waiting."""
 
 import asyncio
 import selectors
@@ -12,18 +12,18 @@
 
 
 class StuckError(Exception):
-    """Every task waits, and no timer is left to wake one."""
+    """All tasks wait and no timer is scheduled: a deadlock in virtual time."""
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Jumps to the next timer instead of waiting for it."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Selector that advances virtual time to the next timer instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list:
-        """Return what is ready now; otherwise move the time on."""
+        """Return the events that are ready; advance the time if there are none."""
         events = super().select(0)
         if not events:
             if timeout is None:
@@ -33,53 +33,56 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop in virtual time."""
+    """Event loop that runs in virtual time."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time, in seconds."""
-        return self._jumping.now
+        return self._virtual_selector.now
 
     def pause(self, seconds: float) -> None:
-        """Let time pass without running anything, as a stopped process does."""
-        self._jumping.now += seconds
+        """Advance the time without running callbacks, like a suspended process."""
+        self._virtual_selector.now += seconds
 
 
 class VirtualClock:
-    """A clock that follows the running virtual loop."""
+    """Clock that follows the running virtual event loop."""
 
     def now(self) -> datetime:
-        """Return the wall clock's time, in UTC."""
+        """Return the wall-clock time, in UTC; it starts at ``EPOCH``."""
         return EPOCH + self.monotonic()
 
     def monotonic(self) -> timedelta:
-        """Return the time since the loop was made."""
+        """Return the time since the loop was created."""
         return timedelta(seconds=asyncio.get_running_loop().time())
 
     async def sleep(self, duration: timedelta) -> None:
-        """Return once a duration has passed."""
+        """Wait for a duration of virtual time."""
         await asyncio.sleep(duration.total_seconds())
 
 
 class SuspendableClock(VirtualClock):
-    """The clock of a machine that may be suspended: the loop's stands meanwhile."""
+    """Clock of a machine that may be suspended.
+
+    It includes the time of suspensions, which the timers of the loop do not count.
+    """
 
     def __init__(self) -> None:
         self._suspended = timedelta(0)
 
     def suspend(self, duration: timedelta) -> None:
-        """Let time pass that timers of the loop don't count."""
+        """Advance this clock, but not the time that the loop's timers follow."""
         self._suspended += duration
 
     def monotonic(self) -> timedelta:
-        """Return the time since the loop was made, suspension included."""
+        """Return the time since the loop was created, including suspensions."""
         return super().monotonic() + self._suspended
 
 
 def run_virtually(work: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine in virtual time, and cancel what it leaves behind."""
+    """Run a coroutine in virtual time and cancel the tasks that still run after it."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(work)
