--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -22,10 +22,10 @@
 from passtally.sequential_test import RateTest, RatioTest
 from passtally.version_judge import VersionJudge
 from standins.rollout_fleet import (
-    RolloutPlay,
     RolloutResult,
+    RolloutScenario,
     VersionBehaviour,
-    play_rollout,
+    simulate_rollout,
 )
 
 GOOD = VersionBehaviour()
@@ -50,12 +50,12 @@
 }
 #: Disturbances during a roll-out, simulated with a good and with a bad version.
 TROUBLES_BY_NAME: Mapping[str, Mapping[str, float]] = {
-    "hosts start anew": {"kills": 4},
-    "a third cut off": {"cut_hosts": 0.34},
+    "hosts start anew": {"host_crashes": 4},
+    "a third cut off": {"partitioned_hosts": 0.34},
     "store away for 3 s": {"store_down": 3.0},
     "store away to the end": {"store_down": 20.0},
-    "one endpoint fails": {"grey": 1},
-    "many failures of both": {"usual_failing": 0.15},
+    "one endpoint fails": {"faulty_endpoints": 1},
+    "many failures of both": {"baseline_failing": 0.15},
 }
 TROUBLED = VersionBehaviour(failing=0.5)
 
@@ -65,22 +65,24 @@
     return RatioTest(baseline=baseline, high=tolerated, error=error)
 
 
-def list_kinds() -> dict[str, RolloutPlay]:
+def list_kinds() -> dict[str, RolloutScenario]:
     """Return the simulations by name; the caller sets seed and fleet size."""
     plays = {
-        name: RolloutPlay(seed=0, version=version)
+        name: RolloutScenario(seed=0, version=version)
         for name, version in VERSIONS_BY_NAME.items()
     }
     for name, trouble in TROUBLES_BY_NAME.items():
-        plays[f"good, {name}"] = RolloutPlay(seed=0, version=GOOD, **trouble)
-        plays[f"fails 0.5, {name}"] = RolloutPlay(seed=0, version=TROUBLED, **trouble)
+        plays[f"good, {name}"] = RolloutScenario(seed=0, version=GOOD, **trouble)
+        plays[f"fails 0.5, {name}"] = RolloutScenario(
+            seed=0, version=TROUBLED, **trouble
+        )
     return plays
 
 
-def play_one(play: RolloutPlay, *, uses_ratio: bool) -> RolloutResult:
+def play_one(play: RolloutScenario, *, uses_ratio: bool) -> RolloutResult:
     """Simulate one roll-out, with Wald's ratio test if ``uses_ratio``."""
     judge = VersionJudge(make_test=make_ratio_test) if uses_ratio else None
-    return play_rollout(play, judge=judge)
+    return simulate_rollout(play, judge=judge)
 
 
 def summarize(name: str, results: Sequence[RolloutResult]) -> str:
--- a/passtally/adapter.py
+++ b/passtally/adapter.py
@@ -10,7 +10,7 @@
 from passtally.fetch import Fetcher
 from passtally.front import Front
 from passtally.http_server import Handle
-from passtally.object_store import MovablePlatform, Platform, StoredObject
+from passtally.object_store import Platform, RelocatablePlatform, StoredObject
 from passtally.objects import Endpoint
 from passtally.plain import Sender
 from passtally.rollout import RecordedState, RolloutRecord
@@ -33,7 +33,7 @@
     endpoints_prefix: str
     rollouts_prefix: str
 
-    def open_store(self, fetcher: Fetcher, url: str) -> MovablePlatform:
+    def open_store(self, fetcher: Fetcher, url: str) -> RelocatablePlatform:
         """Return a client of the store at this URL."""
 
     def decode_routes(self, stored: StoredObject) -> RouteSet | None:
--- a/passtally/completion_handler.py
+++ b/passtally/completion_handler.py
@@ -258,7 +258,10 @@
             )
 
         await self._dispatcher.run(
-            parsed.generation, sink, held_by=point.stream.endpoint_id, recover=recover
+            parsed.generation,
+            sink,
+            stream_endpoint_id=point.stream.endpoint_id,
+            recover=recover,
         )
 
 
--- a/passtally/connection_pool.py
+++ b/passtally/connection_pool.py
@@ -57,7 +57,7 @@
         #: Number of connections opened or tried since the start.
         self.opened = 0
 
-    async def take(
+    async def acquire(
         self, address: Address, *, must_be_new: bool = False
     ) -> ClientConnection:
         """Return an idle connection, or open a new one.
@@ -143,7 +143,7 @@
         try:
             async with PauseAwareTimeout(timeout, clock=self._clock) as limit:
                 extend = partial(limit.extend, part_timeout or timedelta(0))
-                connection = await self.take(address)
+                connection = await self.acquire(address)
                 try:
                     head = await connection.send(method, target, headers, body)
                     on_head(head)
@@ -162,7 +162,7 @@
         self, address: Address, connection: ClientConnection, head: ResponseHead
     ) -> None:
         """Return a connection to the pool after a complete answer, if reusable."""
-        if connection.rest(head.header(b"keep-alive")):
+        if connection.make_idle(head.header(b"keep-alive")):
             self._drop_unusable()
             self._idle_by_address.setdefault(address, []).append(connection)
 
--- a/passtally/crash_guard.py
+++ b/passtally/crash_guard.py
@@ -60,9 +60,9 @@
         """Return the time left in a request's quarantine; None if not quarantined."""
         return self.quarantine.remaining(fingerprint, now=self._clock.monotonic())
 
-    def held(self) -> list[Suspect]:
+    def list_quarantined(self) -> list[Suspect]:
         """Return the quarantined requests."""
-        return self.quarantine.held(now=self._clock.monotonic())
+        return self.quarantine.list_quarantined(now=self._clock.monotonic())
 
     def is_suspect(self, fingerprint: bytes) -> bool:
         """Return whether several crashes of endpoints count against a request.
--- a/passtally/daemon.py
+++ b/passtally/daemon.py
@@ -97,8 +97,8 @@
             ("gate", self.gate.run),
             ("copies", self.copy_sender.run),
             ("claims", self.claims.run),
-            ("quarantine", self.quarantine_news.run),
-            ("quarantine of others", self.quarantine_news.ask),
+            ("quarantine", self.quarantine_exchange.run),
+            ("quarantine of others", self.quarantine_exchange.ask),
             ("executor", self.executor.run),
             ("jobs", self.jobs.run),
             ("gauges", self._report_gauges),
@@ -191,7 +191,7 @@
         self.guard = CrashGuard(
             quarantine=Quarantine(), clock=self.clock, metrics=self.metrics
         )
-        self.quarantine_news = QuarantineExchange(
+        self.quarantine_exchange = QuarantineExchange(
             guard=self.guard,
             peers=self.peers,
             linked_ids=lambda: self.peers.ids,
--- a/passtally/departures.py
+++ b/passtally/departures.py
@@ -33,7 +33,7 @@
         self._incarnations_by_id: dict[str, int] = {}
         self._sends_by_id: dict[str, int] = {}
 
-    def note(self, start: EndpointStart, *, channel: str) -> None:
+    def record(self, start: EndpointStart, *, channel: str) -> None:
         """Record that one start of an endpoint is leaving or has terminated."""
         endpoint_id = start.endpoint_id
         known = self._incarnations_by_id.get(endpoint_id, -1)
@@ -73,7 +73,7 @@
             start = EndpointStart(
                 endpoint_id=row.endpoint_id, incarnation=row.incarnation
             )
-            self.note(start, channel="peer")
+            self.record(start, channel="peer")
 
     def merge_host_list(
         self, hosts: Sequence[HostEntry], catalog: ServiceIndex
@@ -82,7 +82,7 @@
         leaving = {entry.id for entry in hosts if entry.state == LEAVING}
         for endpoint in catalog.endpoints_by_id.values():
             if endpoint.host in leaving:
-                self.note(endpoint.start, channel="host list")
+                self.record(endpoint.start, channel="host list")
 
 
 class HostListReader:
--- a/passtally/dispatcher.py
+++ b/passtally/dispatcher.py
@@ -21,7 +21,7 @@
 from passtally.live_endpoint import LiveEndpoint
 from passtally.metrics import Metric, Metrics, NoMetrics
 from passtally.outcome import Code, Outcome, RefusedError, refuse
-from passtally.placement import NoPlaceError, Placement
+from passtally.placement import NoEndpointError, Placement
 from passtally.quarantine import Quarantine
 from passtally.relay import Relay, Sink, count_prefill_tokens
 from passtally.replica import ReplicaKeeper
@@ -124,7 +124,7 @@
         generation: Generation,
         sink: Sink,
         *,
-        held_by: str = "",
+        stream_endpoint_id: str = "",
         recover: Recovery | None = None,
     ) -> None:
         """Run a generation until its answer is complete.
@@ -132,7 +132,8 @@
         Args:
             generation: The generation to run.
             sink: Receives the output.
-            held_by: The endpoint that may still have the generation's stream, if any.
+            stream_endpoint_id: The endpoint that may still have the generation's
+                stream, if any.
             recover: Fetches the tokens that the caller already has. Needed for an
                 answer that began on another host and whose engine is lost too.
 
@@ -142,10 +143,10 @@
         """
         now = self._clock.monotonic()
         progress = _Progress(
-            may_have_run=bool(held_by), waiting_since=now, last_output_at=now
+            may_have_run=bool(stream_endpoint_id), waiting_since=now, last_output_at=now
         )
-        step = NextStep.ATTACH if held_by else NextStep.RESUME
-        endpoint_id = held_by
+        step = NextStep.ATTACH if stream_endpoint_id else NextStep.RESUME
+        endpoint_id = stream_endpoint_id
         resume_ref = ""
         self._refuse_quarantined(generation)
         self._metrics.count(Metric.REQUESTS)
@@ -214,7 +215,9 @@
             replica=self._fleet.find(attempt.replica_id),
             load_changed=self._fleet.load_changed.set,
             on_first=lambda: self._record_first_output(generation, progress, live),
-            first_limit=partial(self._forecast.first_limit, generation.request.service),
+            first_output_limit=partial(
+                self._forecast.first_output_limit, generation.request.service
+            ),
             may_fail_over=partial(
                 self._may_fail_over, generation, attempt, live, progress
             ),
@@ -273,7 +276,7 @@
             )
         try:
             return await self._placement.place(generation, progress.excluded)
-        except NoPlaceError as error:
+        except NoEndpointError as error:
             raise self._give_up(generation, progress, str(error)) from error
 
     async def _handle_loss(
--- a/passtally/endpoint_backoff.py
+++ b/passtally/endpoint_backoff.py
@@ -85,7 +85,7 @@
         """Return whether neither a back-off nor a probe window is active."""
         return not self.wait(start, now=now)
 
-    def take(self, start: EndpointStart, *, now: timedelta) -> bool:
+    def acquire(self, start: EndpointStart, *, now: timedelta) -> bool:
         """Return whether a request may be sent now, and if so count it as sent.
 
         After a back-off the request is a probe: no other one is sent in its window.
--- a/passtally/endpoint_directives.py
+++ b/passtally/endpoint_directives.py
@@ -24,7 +24,7 @@
 
     LEAVING = "leaving"
     LIMIT = "limit"
-    REST = "rest"
+    RETRY_AFTER = "rest"
 
 
 @attrs.frozen(kw_only=True)
@@ -36,17 +36,17 @@
             even if the answer does not state so.
         limit: The requests per second that it accepts from all hosts; None for no
             limit.
-        rest: The back-off that it requests from this host; None for none.
+        backoff: The back-off that it requests from this host; None for none.
         invalid_by_directive: The text of each directive that can't be parsed; such a
             directive is logged and otherwise ignored.
-        unread: The platform's headers that this version does not know.
+        unknown_headers: The platform's headers that this version does not know.
     """
 
     is_leaving: bool = False
     limit: float | None = None
-    rest: timedelta | None = None
+    backoff: timedelta | None = None
     invalid_by_directive: Mapping[Directive, str] = attrs.field(factory=dict)
-    unread: Sequence[str] = ()
+    unknown_headers: Sequence[str] = ()
 
 
 class DirectiveRecorder(Protocol):
@@ -82,13 +82,13 @@
         self._invalid_by_endpoint: dict[str, Mapping[Directive, str]] = {}
         self._logged_headers: set[str] = set()
 
-    def note(self, endpoint_id: str, directives: EndpointDirectives) -> None:
+    def record(self, endpoint_id: str, directives: EndpointDirectives) -> None:
         """Log what can't be read in an answer.
 
         Invalid directives are logged unless the endpoint's last answer had the same
         ones, and unknown headers once for all endpoints.
         """
-        for name in directives.unread:
+        for name in directives.unknown_headers:
             if (
                 name not in self._logged_headers
                 and len(self._logged_headers) < MAX_LOGGED
--- a/passtally/endpoint_registry.py
+++ b/passtally/endpoint_registry.py
@@ -14,7 +14,7 @@
 
 from passtally.clock import Clock
 from passtally.decision import log_event
-from passtally.objects import UNTOLD_START, Endpoint, EndpointState
+from passtally.objects import UNKNOWN_INCARNATION, Endpoint, EndpointState
 from passtally.service_index import ServiceIndex
 
 #: Time after the platform's recovery for which an endpoint without an entry is kept.
@@ -32,9 +32,9 @@
         clock: The clock.
         grace: The time after the platform's recovery for which an endpoint without an
             entry is kept.
-        gone: Called with the id of each removed endpoint.
-        came: Called with each entry of a new endpoint or a new start, before it is put
-            in the catalog.
+        on_removed: Called with the id of each removed endpoint.
+        on_started: Called with each entry of a new endpoint or a new start, before it
+            is put in the catalog.
     """
 
     def __init__(
@@ -43,14 +43,14 @@
         catalog: ServiceIndex,
         clock: Clock,
         grace: timedelta = MISSING_ENTRY_GRACE,
-        gone: Callable[[str], None] = lambda endpoint_id: None,
-        came: Callable[[Endpoint], None] = lambda endpoint: None,
+        on_removed: Callable[[str], None] = lambda endpoint_id: None,
+        on_started: Callable[[Endpoint], None] = lambda endpoint: None,
     ) -> None:
         self._catalog = catalog
         self._clock = clock
         self._grace = grace
-        self._gone = gone
-        self._came = came
+        self._gone = on_removed
+        self._came = on_started
         self._is_unreachable = False
         self._recovered_at: timedelta | None = None
         self._missing: set[str] = set()
@@ -66,13 +66,13 @@
         before = self._catalog.endpoints_by_id.get(endpoint.id)
         if before == endpoint:
             return
-        if before is not None and endpoint.start.is_followed_by(before.start):
+        if before is not None and endpoint.start.precedes(before.start):
             # Entries arrive in the order of the store. Even if the endpoint's clock was
             # set back, ignoring its new start does no harm: the endpoint is reached by
             # the same id.
             log_event("endpoints", "Ignored an earlier start.", peer=endpoint.id)
             return
-        if before is not None and endpoint.incarnation == UNTOLD_START:
+        if before is not None and endpoint.incarnation == UNKNOWN_INCARNATION:
             endpoint = attrs.evolve(endpoint, incarnation=before.incarnation)
         if before is not None and self._would_undo_departure(before, endpoint):
             log_event(
--- a/passtally/executor.py
+++ b/passtally/executor.py
@@ -12,7 +12,7 @@
 from passtally.decision import log_decision, log_event
 from passtally.fleet import Fleet
 from passtally.intent import Intent, IntentState, Step, StepKind, StepState
-from passtally.lease import LEASE_LENGTH, RENEW_INTERVAL, Lease
+from passtally.lease import LEASE_DURATION, RENEW_INTERVAL, Lease
 from passtally.object_store import ConflictError, PlatformError, StoredObject
 from passtally.objects import Endpoint, ServiceKind
 from passtally.orders import FencedError, OrderError, Orders
@@ -29,7 +29,7 @@
 PLAIN_DRAIN_TIME = timedelta(seconds=35)
 #: Wait after an order to an endpoint that does not check fencing numbers. A late order
 #: of a former lease holder arrives within it and is noticed when the role is verified.
-LATE_ORDER_WAIT = 2 * LEASE_LENGTH
+LATE_ORDER_WAIT = 2 * LEASE_DURATION
 MAX_ROLE_ATTEMPTS = 3
 MAX_RANK = 30
 
@@ -89,7 +89,7 @@
             await self._clock.sleep(pause)
 
     async def _start_tasks(self) -> None:
-        if not await self._lease.try_hold():
+        if not await self._lease.try_acquire():
             return
         for entry in self._catalog.ledger.entries:
             running = self._tasks_by_intent.get(entry.intent)
--- a/passtally/fleet.py
+++ b/passtally/fleet.py
@@ -24,7 +24,7 @@
     LiveEndpoint,
 )
 from passtally.messages import TokenLoad
-from passtally.objects import Endpoint, EndpointStart, EndpointState, is_placed
+from passtally.objects import Endpoint, EndpointStart, EndpointState, can_serve
 from passtally.request_limits import RequestLimits
 from passtally.routing import EndpointView
 from passtally.service_index import ServiceIndex
@@ -33,7 +33,7 @@
     Phase,
     SilenceBounds,
 )
-from passtally.versions import AnyVersion, Versions
+from passtally.versions import AllVersions, Versions
 
 #: Interval between load probes; each goes to one endpoint, however many there are.
 REFRESH_INTERVAL = timedelta(seconds=1)
@@ -102,7 +102,7 @@
         self.limits = limits or RequestLimits()
         self._invalid_directives = InvalidDirectiveLog()
         self._backoffs = EndpointBackoffs()
-        self.versions = versions or AnyVersion()
+        self.versions = versions or AllVersions()
         self._on_silent = on_silent
         self._catalog = catalog
         self._clock = clock
@@ -187,18 +187,26 @@
         return not in_use
 
     def record_directives(
-        self, start: EndpointStart, words: EndpointDirectives, *, sent_at: timedelta
+        self,
+        start: EndpointStart,
+        directives: EndpointDirectives,
+        *,
+        sent_at: timedelta,
     ) -> None:
         """Apply the directives of an answer; see :class:`DirectiveRecorder`."""
         now = self._clock.monotonic()
-        self._invalid_directives.note(start.endpoint_id, words)
-        if words.is_leaving:
-            self._departures.note(start, channel="its answers")
-        if Directive.REST not in words.invalid_by_directive:
-            self._backoffs.record_answer(start, words.rest, sent_at=sent_at, now=now)
+        self._invalid_directives.record(start.endpoint_id, directives)
+        if directives.is_leaving:
+            self._departures.record(start, channel="its answers")
+        if Directive.RETRY_AFTER not in directives.invalid_by_directive:
+            self._backoffs.record_answer(
+                start, directives.backoff, sent_at=sent_at, now=now
+            )
         if (
-            Directive.LIMIT not in words.invalid_by_directive
-            and self.limits.record_answer(start, words.limit, sent_at=sent_at, now=now)
+            Directive.LIMIT not in directives.invalid_by_directive
+            and self.limits.record_answer(
+                start, directives.limit, sent_at=sent_at, now=now
+            )
         ):
             self.load_changed.set()
 
@@ -210,7 +218,9 @@
         start, now = live.endpoint.start, self._clock.monotonic()
         if not self._backoffs.may_send(start, now=now):
             return False
-        return self.limits.take(start, now=now) and self._backoffs.take(start, now=now)
+        return self.limits.acquire(start, now=now) and self._backoffs.acquire(
+            start, now=now
+        )
 
     def may_query(self, start: EndpointStart) -> bool:
         """Return whether an endpoint's back-off allows any message from this host."""
@@ -336,9 +346,9 @@
         connection shows which of them are lost.
         """
         live = self._live_by_id.get(endpoint.id)
-        if live is None or not live.endpoint.start.is_followed_by(endpoint.start):
+        if live is None or not live.endpoint.start.precedes(endpoint.start):
             return
-        live.start_again(self._bounds_by_phase)
+        live.reset_for_restart(self._bounds_by_phase)
         log_event(
             "endpoints", "Endpoint restarted.", peer=endpoint.id, open=live.own_streams
         )
@@ -356,7 +366,7 @@
         """
         endpoint_id = start.endpoint_id
         endpoint = self._catalog.endpoints_by_id.get(endpoint_id)
-        if endpoint is None or start.is_followed_by(endpoint.start):
+        if endpoint is None or start.precedes(endpoint.start):
             return
         live = self.find(endpoint_id)
         now = self._clock.monotonic()
@@ -402,7 +412,7 @@
             return False
         return self._clock.monotonic() - lost_at < UNSTABLE_TIME
 
-    def forget(self, endpoint_id: str) -> None:
+    def remove(self, endpoint_id: str) -> None:
         """Drop the state of a removed endpoint, unless it has open streams."""
         self._backoffs.forget(endpoint_id)
         live = self._live_by_id.get(endpoint_id)
@@ -420,11 +430,11 @@
         service = self._catalog.services_by_id.get(service_id)
         if service is None:
             return []
-        is_eligible = self.versions.is_tried if is_trial else self.versions.allows
+        is_eligible = self.versions.accepts_trials if is_trial else self.versions.allows
         placed = (
             endpoint
             for endpoint in self._catalog.endpoints_of(service_id)
-            if is_placed(endpoint, service) and is_eligible(endpoint)
+            if can_serve(endpoint, service) and is_eligible(endpoint)
         )
         return [self.view(endpoint.id) for endpoint in placed]
 
--- a/passtally/follower.py
+++ b/passtally/follower.py
@@ -89,7 +89,7 @@
         self._listed_bytes = 0
         self._is_backlogged = False
 
-    def pace(self, *, wait: timedelta, pause: timedelta) -> None:
+    def set_pace(self, *, wait: timedelta, pause: timedelta) -> None:
         """Change the wait and the pause of later watches."""
         self._wait = wait
         self._pause = pause
--- a/passtally/forecast.py
+++ b/passtally/forecast.py
@@ -24,7 +24,7 @@
 DEFAULT_PREFILL_RATE = 5_000.0
 #: Duration of an answer that is assumed before enough answers are known. Most answers
 #: of the first deployments took no longer.
-START_LASTS = timedelta(seconds=6.4)
+DEFAULT_DURATION = timedelta(seconds=6.4)
 #: Allowance for a first output, added to twice the prefill time.
 FIRST_OUTPUT_SLACK = timedelta(seconds=1.5)
 #: Length of a short answer: 10th percentile.
@@ -136,14 +136,14 @@
         """
         history = self._history(service)
         if min(len(history.prefill_rates), len(history.lengths)) < MIN_SAMPLES:
-            return START_LASTS
+            return DEFAULT_DURATION
         reading = tokens / _decile(history.prefill_rates, _MEDIAN)
         decode = _decile(history.lengths, _LONG_LENGTH) * _decile(
             history.steps, _MEDIAN
         )
         return timedelta(seconds=reading + decode)
 
-    def first_limit(self, service: str, tokens: int) -> timedelta | None:
+    def first_output_limit(self, service: str, tokens: int) -> timedelta | None:
         """Return the maximum time to first output at a working endpoint.
 
         Args:
--- a/passtally/front.py
+++ b/passtally/front.py
@@ -139,7 +139,8 @@
         drain: The tracker of open requests.
         clock: The clock.
         metrics: The metrics sink.
-        learned: The event that is set once the routes and some endpoints are known.
+        config_ready: The event that is set once the routes and some endpoints are
+            known.
         forecast: The forecast of the duration of streams.
         guard: The quarantine of requests that crash endpoints.
         is_behind: A callback that returns whether newer routes than those of this host
@@ -156,12 +157,12 @@
         drain: Drain,
         clock: Clock,
         metrics: Metrics,
-        learned: asyncio.Event,
+        config_ready: asyncio.Event,
         forecast: Forecast,
         guard: CrashGuard,
         is_behind: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._learned = learned
+        self._config_ready = config_ready
         self._is_behind = is_behind
         self._forecast = forecast
         self._guard = guard
@@ -240,11 +241,11 @@
     async def _wait_until_ready(self) -> None:
         """Wait for the routes and endpoints, until `COLD_START` after the start."""
         left = self._cold_start_until - self._clock.monotonic()
-        if self._learned.is_set() or left <= timedelta(0):
+        if self._config_ready.is_set() or left <= timedelta(0):
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(left.total_seconds()):
-                await self._learned.wait()
+                await self._config_ready.wait()
 
     def _admit(self, request: FrontRequest) -> _Admitted:
         """Find the route, the workspace and the service of a request.
@@ -443,7 +444,7 @@
         path=raw.target.decode("latin-1"),
         headers=headers,
         body=raw.body,
-        repeatable=route.is_repeatable,
+        repeatable=route.is_retryable,
         key="",
         max_attempts=route.max_attempts,
         deadline=admitted.deadline,
--- a/passtally/front_host.py
+++ b/passtally/front_host.py
@@ -37,7 +37,7 @@
 from passtally.metrics import Metric
 from passtally.object_applier import ObjectApplier
 from passtally.objects import (
-    UNTOLD_START,
+    UNKNOWN_INCARNATION,
     Endpoint,
     EndpointState,
 )
@@ -59,19 +59,19 @@
 from passtally.supervisor import keep_running
 from passtally.survey import Survey
 from passtally.text_metrics import TextMetrics
-from passtally.versions import AnyVersion
+from passtally.versions import AllVersions
 from passtally.view import View
 
 #: Share of the setting ``apply_within``, the time limit for applying a change, that one
 #: watch waits for a change. A store that compacts its history stops sending changes to
 #: open watches and does not always close them. A quiet watch is therefore renewed early
 #: enough to list and apply the missed changes in time.
-WATCH_WAIT_PART = 0.6
+WATCH_WAIT_SHARE = 0.6
 #: Share of ``apply_within`` for which changes are batched before the next watch.
 #: Endpoints start and stop by the dozen, each as a change of its own that ends a watch,
 #: and each watch is a billed call: of 2,035 to 3,418 calls a day of 74 hosts, some 500
 #: were listings.
-GATHER_PART = 0.125
+BATCH_SHARE = 0.125
 #: Time that a watch waits for objects that change a few times a day. Each call is
 #: billed: with the shorter wait, and a listing at each start, the orders of new
 #: versions would take a quarter of the calls of 90 hosts in a quiet minute (256 beside
@@ -145,7 +145,7 @@
         self.departures = Departures()
         self.pool = ConnectionPool(clock=clock)
         #: Set once the routes and some endpoints are known.
-        self._learned = asyncio.Event()
+        self._config_ready = asyncio.Event()
         self.listeners = Listeners(clock=clock, on_open=self._record_open)
         self.reloading = HostReload(host=self)
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -163,8 +163,8 @@
             ("gossip", self.gossip.run),
             ("roster", lambda: self.roster.run(self.gossip)),
             ("news", self.load_exchange.run),
-            ("quarantine", self.quarantine_news.run),
-            ("quarantine of others", self.quarantine_news.ask),
+            ("quarantine", self.quarantine_exchange.run),
+            ("quarantine of others", self.quarantine_exchange.ask),
             ("isolation", self.isolation.run),
         ):
             self.spawn(keep_running(name, work, clock=self.clock))
@@ -266,8 +266,8 @@
         self.registry = EndpointRegistry(
             catalog=self.catalog,
             clock=self.clock,
-            gone=self.fleet.forget,
-            came=self._handle_start,
+            on_removed=self.fleet.remove,
+            on_started=self._handle_start,
         )
         object_applier = ObjectApplier(
             adapter=self._adapter,
@@ -275,7 +275,7 @@
             catalog=self.catalog,
             registry=self.registry,
             rollouts=self.rollouts,
-            learned=self._learned,
+            config_ready=self._config_ready,
             routes_changed=self._publish_config_version,
         )
         self._object_applier = object_applier
@@ -287,7 +287,7 @@
             ),
         ]
         if self.rollouts is not None:
-            self.rollouts.use(self.fleet)
+            self.rollouts.set_fleet(self.fleet)
             views.append(self._make_rollouts_view())
         self.watch = SharedWatch(
             host_id=self.settings.host_id,
@@ -305,7 +305,7 @@
     def _make_rollouts_view(self) -> View:
         orders = self._adapter.rollouts_prefix
         return View(
-            prefix=orders, apply=self._object_applier.apply_rollouts, is_vital=False
+            prefix=orders, apply=self._object_applier.apply_rollouts, is_required=False
         )
 
     def _follow_rollouts(self) -> None:
@@ -317,9 +317,9 @@
     def enable_rollouts(self) -> None:
         """Start following the orders of new versions."""
         self.rollouts = self._object_applier.rollouts = self._build_rollouts()
-        self.rollouts.use(self.fleet)
+        self.rollouts.set_fleet(self.fleet)
         for endpoint in self.catalog.endpoints_by_id.values():
-            self.rollouts.meet(endpoint)
+            self.rollouts.record_endpoint(endpoint)
         self.fleet.versions = self.rollouts
         self.watch.add(self._make_rollouts_view())
         self._follow_rollouts()
@@ -330,7 +330,7 @@
             return
         self._rollouts_task.cancel()
         self.watch.remove(self._adapter.rollouts_prefix)
-        self.fleet.versions = AnyVersion()
+        self.fleet.versions = AllVersions()
         self.rollouts.stop()
         self.rollouts = None
 
@@ -344,7 +344,7 @@
             life=int(self.clock.now().timestamp() * 1000),
             share=settings.trial_share,
             slack=settings.trial_extra,
-            least_hosts=MIN_BUDGET_HOSTS,
+            min_hosts=MIN_BUDGET_HOSTS,
             catalog=self.catalog,
             loans=self.loans,
             peers=self.peers,
@@ -381,13 +381,13 @@
 
     def watch_wait(self, view: View) -> timedelta:
         """Return the time that one watch of a view waits for a change."""
-        if not view.is_vital:
+        if not view.is_required:
             return LONG_WATCH
-        return WATCH_WAIT_PART * self.settings.apply_within
+        return WATCH_WAIT_SHARE * self.settings.apply_within
 
     def gather_pause(self) -> timedelta:
         """Return the time for which changes are batched before the next watch."""
-        return GATHER_PART * self.settings.apply_within
+        return BATCH_SHARE * self.settings.apply_within
 
     def _build_serving(self) -> None:
         """Build the components that serve requests."""
@@ -396,7 +396,8 @@
         self.budgets = budgets = ServiceBudgets(
             share=settings.retry_share,
             extra=lambda: (
-                self.settings.retry_extra / max(self.roster.peak, MIN_BUDGET_HOSTS)
+                self.settings.retry_extra
+                / max(self.roster.peak_hosts, MIN_BUDGET_HOSTS)
             ),
             window=settings.retry_window,
             clock=self.clock,
@@ -420,12 +421,12 @@
             on_quarantined=self.fleet.end_streams,
             metrics=self.metrics,
         )
-        self.quarantine_news = QuarantineExchange(
+        self.quarantine_exchange = QuarantineExchange(
             guard=self.guard,
             peers=self.peers,
             linked_ids=lambda: [row.host_id for row in self.roster.linked()],
-            far_ids=lambda: (
-                () if self.roster.is_fully_linked else self.roster.far_ids()
+            remote_ids=lambda: (
+                () if self.roster.is_fully_linked else self.roster.remote_ids()
             ),
             clock=self.clock,
             rng=random.Random(),
@@ -482,7 +483,7 @@
             drain=self.drain,
             clock=self.clock,
             metrics=self.metrics,
-            learned=self._learned,
+            config_ready=self._config_ready,
             forecast=forecast,
             guard=self.guard,
             is_behind=lambda: self.watch.is_behind(self._adapter.routes_prefix),
@@ -533,7 +534,7 @@
                 ended,
                 id=successor_id,
                 state=EndpointState.ACTIVE,
-                incarnation=UNTOLD_START,
+                incarnation=UNKNOWN_INCARNATION,
             )
             self.spawn(self._put_if_engine(successor))
 
@@ -548,7 +549,7 @@
         """
         self.fleet.record_start(endpoint)
         if self.rollouts is not None:
-            self.rollouts.meet(endpoint)
+            self.rollouts.record_endpoint(endpoint)
         self.pool.invalidate(_address_of(endpoint))
 
     def _find_address(self, endpoint_id: str) -> Address | None:
@@ -562,12 +563,12 @@
         current = self.routes.current
         self.metrics.gauge(Metric.OPEN, self.drain.open_requests)
         self.metrics.gauge(Metric.CONFIG_VERSION, current.version if current else 0)
-        behind = self.watch.behind_for(self._adapter.routes_prefix)
+        behind = self.watch.time_behind(self._adapter.routes_prefix)
         self.metrics.gauge(Metric.CONFIG_BEHIND, round(behind.total_seconds() * 1000))
-        self.metrics.gauge(Metric.QUARANTINED, len(self.guard.held()))
+        self.metrics.gauge(Metric.QUARANTINED, len(self.guard.list_quarantined()))
         self.metrics.gauge(Metric.PEER_BYTES, self.peers.bytes_sent)
         if self.rollouts is not None:
-            self.metrics.gauge(Metric.ROLLOUTS, self.rollouts.under_way)
+            self.metrics.gauge(Metric.ROLLOUTS, self.rollouts.active_count)
         self.metrics.gauge(Metric.PLATFORM_AWAY, int(not self.watch.is_receiving))
         return self.metrics.render()
 
--- a/passtally/host_reload.py
+++ b/passtally/host_reload.py
@@ -18,7 +18,7 @@
 from passtally.listeners import CALLERS, METRICS, PEERS, READINESS
 from passtally.load_exchange import LoadExchange
 from passtally.membership import Gossip
-from passtally.object_store import MovablePlatform
+from passtally.object_store import RelocatablePlatform
 from passtally.peers import Peers
 from passtally.placement import Placement
 from passtally.plain import PlainCaller
@@ -71,7 +71,7 @@
     gossip: Gossip
     roster: Roster
     load_exchange: LoadExchange
-    store: MovablePlatform
+    store: RelocatablePlatform
     watch: SharedWatch
     routes: ActiveRoutes
     placement: Placement
@@ -170,7 +170,7 @@
         host = self._host
         domain = host.settings.failure_domain
         host.gossip.table.change_own(now=host.clock.monotonic(), failure_domain=domain)
-        host.placement.move(domain)
+        host.placement.set_failure_domain(domain)
         host.caller.failure_domain = domain
 
     def _apply_listen(self) -> None:
@@ -186,12 +186,12 @@
         self._host.servers.move(PEERS, self._host.settings.peer_listen)
 
     def _apply_seeds(self) -> None:
-        self._host.roster.use_seeds(self._host.settings.seeds)
+        self._host.roster.set_seeds(self._host.settings.seeds)
 
     def _apply_platform(self) -> None:
         host = self._host
-        host.store.move(host.settings.platform)
-        host.routes.renew()
+        host.store.set_url(host.settings.platform)
+        host.routes.accept_any_version()
         host.watch.relist()
 
     def _record_former_key(self, before: Settings) -> None:
@@ -238,4 +238,6 @@
     def _apply_watch_times(self) -> None:
         host = self._host
         for view in host.watch.views:
-            view.follower.pace(wait=host.watch_wait(view), pause=host.gather_pause())
+            view.follower.set_pace(
+                wait=host.watch_wait(view), pause=host.gather_pause()
+            )
--- a/passtally/http_client.py
+++ b/passtally/http_client.py
@@ -218,7 +218,7 @@
             parts.append(part)
         return b"".join(parts)
 
-    def rest(self, keep_alive: bytes | None) -> bool:
+    def make_idle(self, keep_alive: bytes | None) -> bool:
         """Make the connection idle, or close it if it cannot be reused.
 
         Args:
--- a/passtally/isolation.py
+++ b/passtally/isolation.py
@@ -105,7 +105,7 @@
 
     async def _is_partitioned(self) -> bool:
         """Return whether no host of another failure domain is reachable."""
-        far = self._roster.far_ids()
+        far = self._roster.remote_ids()
         if not far:
             # During a long cut, gossip removes the hosts of other domains from the
             # roster, so an empty list does not show that the cut has healed.
--- a/passtally/lease.py
+++ b/passtally/lease.py
@@ -1,7 +1,7 @@
 """A lease stored in the platform, with fencing numbers and without synchronized clocks.
 
 The holder renews the object. A host that has seen the same version for longer than
-LEASE_LENGTH on its local monotonic clock takes the lease over with the next fencing
+LEASE_DURATION on its local monotonic clock takes the lease over with the next fencing
 number. The holder stops acting on the lease SAFETY_MARGIN earlier.
 """
 
@@ -20,7 +20,7 @@
     UnavailableError,
 )
 
-LEASE_LENGTH = timedelta(seconds=5)
+LEASE_DURATION = timedelta(seconds=5)
 RENEW_INTERVAL = timedelta(seconds=1)
 #: Minimum time between the moment when a holder that cannot renew stops and the moment
 #: when another host may take over.
@@ -71,7 +71,7 @@
         now = self._clock.monotonic()
         return self._held_until is not None and now < self._held_until
 
-    async def try_hold(self) -> bool:
+    async def try_acquire(self) -> bool:
         """Renew the lease, or acquire it if it is free or its holder stopped renewing.
 
         Returns:
@@ -112,7 +112,7 @@
         self._set_stored(stored)
         if self._record is None or not self._record.holder:
             return True
-        return now - self._seen_at > LEASE_LENGTH
+        return now - self._seen_at > LEASE_DURATION
 
     def _set_stored(self, stored: StoredObject | None) -> None:
         self._version = stored.version if stored else 0
@@ -149,7 +149,7 @@
         self.fence = record.fence
         # Measured from before the write, while other hosts measure from after it, so
         # that this host stops first.
-        self._held_until = started_at + LEASE_LENGTH - SAFETY_MARGIN
+        self._held_until = started_at + LEASE_DURATION - SAFETY_MARGIN
 
     async def _read_back(self, record: LeaseRecord) -> int | None:
         """Read the lease after a failed write; return its version if it was written."""
--- a/passtally/live_endpoint.py
+++ b/passtally/live_endpoint.py
@@ -58,10 +58,10 @@
 
     Attributes:
         quiet_since: Start of the current silence; restarted by output, by a probe that
-            finds the endpoint alive, and by :meth:`hold`.
-        first_limit: Returns the silence before the first output after which the attempt
-            is given up even if its endpoint is alive, by ``max_prefill_tokens``; None
-            for the endpoint's own limit.
+            finds the endpoint alive, and by :meth:`keep_waiting`.
+        first_output_limit: Returns the silence before the first output after which the
+            attempt is given up even if its endpoint is alive, by
+            ``max_prefill_tokens``; None for the endpoint's own limit.
         max_prefill_tokens: Maximum number of prompt tokens waiting for prefill at the
             endpoint since the attempt was sent, of all hosts as far as known.
         max_gap: Maximum pause between two outputs that the caller allows, if known.
@@ -71,28 +71,28 @@
         seen_reads: Number of reads at the last check.
         silence_began_at: Start of the whole silence, once ``quiet_since`` was restarted
             without any output; otherwise None.
-        trip: Called when the attempt is to be ended.
-        tripped: The kind of loss, once the attempt was found lost.
+        on_loss: Called when the attempt is to be ended.
+        loss_kind: The kind of loss, once the attempt was found lost.
         is_lost: Whether the endpoint no longer runs the attempt, so that waiting for it
             is useless.
-        is_held: Whether the attempt keeps waiting at a silent endpoint because it
-            cannot fail over.
+        is_kept_waiting: Whether the attempt keeps waiting at a silent endpoint because
+            it cannot fail over.
         next_check_at: Time before which the silence is not judged.
         fingerprint: The fingerprint of the request, see :mod:`passtally.fingerprint`.
     """
 
     quiet_since: timedelta
-    first_limit: Callable[[int], timedelta | None] = lambda tokens: None
+    first_output_limit: Callable[[int], timedelta | None] = lambda tokens: None
     max_prefill_tokens: int = 0
     max_gap: timedelta | None = None
     reads: int = 0
     is_waiting: bool = True
     seen_reads: int = 0
     silence_began_at: timedelta | None = None
-    trip: Callable[[], None] = lambda: None
-    tripped: LossKind | None = None
+    on_loss: Callable[[], None] = lambda: None
+    loss_kind: LossKind | None = None
     is_lost: bool = False
-    is_held: bool = False
+    is_kept_waiting: bool = False
     next_check_at: timedelta = timedelta(0)
     fingerprint: bytes = b""
 
@@ -103,7 +103,7 @@
             endpoint_limit: The endpoint's own limit for the phase; None for no limit.
         """
         if self.phase is Phase.FIRST_TOKEN:
-            return self.first_limit(self.max_prefill_tokens) or endpoint_limit
+            return self.first_output_limit(self.max_prefill_tokens) or endpoint_limit
         if self.max_gap is None or endpoint_limit is None:
             return endpoint_limit
         return max(endpoint_limit, self.max_gap - FAILOVER_RESERVE)
@@ -120,23 +120,23 @@
 
     def end(self, kind: LossKind) -> None:
         """Trip the guard, which ends the attempt unless it cannot fail over."""
-        if self.tripped is None:
-            self.tripped = kind
-            self.trip()
+        if self.loss_kind is None:
+            self.loss_kind = kind
+            self.on_loss()
 
     def lose(self) -> None:
         """End the attempt as lost, even if it cannot fail over."""
         self.is_lost = True
         self.end(LossKind.RESET)
 
-    def hold(self, now: timedelta) -> None:
+    def keep_waiting(self, now: timedelta) -> None:
         """Keep the attempt at its endpoint, and judge its silence again later.
 
         Args:
             now: The monotonic time.
         """
-        self.tripped = None
-        self.is_held = True
+        self.loss_kind = None
+        self.is_kept_waiting = True
         self.silence_began_at = self.silence_began_at or self.quiet_since
         self.quiet_since = now
         self.next_check_at = now + HOLD_CHECK_DELAY
@@ -225,9 +225,9 @@
         #: Whether it has reported its load, which plain endpoints never do.
         self.has_engine = False
         self._probe: asyncio.Task[None] | None = None
-        self.start_again(bounds_by_phase)
+        self.reset_for_restart(bounds_by_phase)
 
-    def start_again(self, bounds_by_phase: dict[Phase, SilenceBounds]) -> None:
+    def reset_for_restart(self, bounds_by_phase: dict[Phase, SilenceBounds]) -> None:
         """Reset the state that belongs to the previous start.
 
         Args:
@@ -322,7 +322,7 @@
         self._own_at_report = max(self.own_streams, recent_peak)
         self.reported_at = self._clock.monotonic()
         if report.draining:
-            self._departures.note(self.endpoint.start, channel="its own report")
+            self._departures.record(self.endpoint.start, channel="its own report")
 
     @property
     def state(self) -> EndpointState:
@@ -333,7 +333,7 @@
 
     def record_ended(self) -> None:
         """Record that this start has exited, whatever the configuration states."""
-        self._departures.note(self.endpoint.start, channel="its address")
+        self._departures.record(self.endpoint.start, channel="its address")
 
     @property
     def is_ejected(self) -> bool:
--- a/passtally/member_table.py
+++ b/passtally/member_table.py
@@ -21,10 +21,10 @@
 #: An update reaches all of 1,000 hosts in 4 s, and the refutation takes another 4 s.
 #: Network partitions of a failure domain of 5 to 6 s end before any host is declared
 #: dead.
-SUSPECT_FOR = timedelta(seconds=12)
+SUSPECT_TIMEOUT = timedelta(seconds=12)
 #: Time for which rows of dead hosts are kept. They identify late updates about a dead
 #: host as outdated, and let a failure domain be found again once it is reachable.
-FORGET_AFTER = timedelta(minutes=5)
+DEAD_ROW_RETENTION = timedelta(minutes=5)
 #: Number of times that each host sends a change, divided by the base-2 logarithm of
 #: the number of hosts: 16 sends among 195 hosts.
 SENDS_PER_LOG = 2
@@ -84,7 +84,7 @@
     """
 
     def __init__(
-        self, *, own: MemberRow, suspect_timeout: timedelta = SUSPECT_FOR
+        self, *, own: MemberRow, suspect_timeout: timedelta = SUSPECT_TIMEOUT
     ) -> None:
         self.own = own
         #: Incremented whenever a host is added or removed, or its state changes.
@@ -194,7 +194,7 @@
                 and elapsed >= self._suspect_timeout
             ):
                 self._set_state(known.row, MemberState.DEAD, now)
-            elif known.row.state == MemberState.DEAD and elapsed >= FORGET_AFTER:
+            elif known.row.state == MemberState.DEAD and elapsed >= DEAD_ROW_RETENTION:
                 del self._known_by_id[host_id]
                 self._failing_ids.discard(host_id)
                 self._sends_by_id.pop(host_id, None)
--- a/passtally/messages.py
+++ b/passtally/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from passtally.objects import UNTOLD_START, EndpointStart
+from passtally.objects import UNKNOWN_INCARNATION, EndpointStart
 
 
 class CopiedRun(msgspec.Struct, array_like=True):
@@ -257,7 +257,7 @@
 
         Hosts of an earlier version send no incarnations.
         """
-        unknown = [UNTOLD_START] * (len(self.lost) - len(self.lost_incarnations))
+        unknown = [UNKNOWN_INCARNATION] * (len(self.lost) - len(self.lost_incarnations))
         incarnations = [*self.lost_incarnations, *unknown]
         return [
             EndpointStart(endpoint_id=endpoint_id, incarnation=incarnation)
--- a/passtally/object_applier.py
+++ b/passtally/object_applier.py
@@ -23,7 +23,7 @@
         catalog: The services and endpoints.
         registry: The endpoints that registered themselves.
         rollouts: The roll-outs; None if this host does not follow them.
-        learned: Set once the routes and at least one endpoint are known.
+        config_ready: Set once the routes and at least one endpoint are known.
         routes_changed: Called with the configuration version of newly applied routes.
     """
 
@@ -35,7 +35,7 @@
         catalog: ServiceIndex,
         registry: EndpointRegistry,
         rollouts: Rollouts | None,
-        learned: asyncio.Event,
+        config_ready: asyncio.Event,
         routes_changed: Callable[[int], None],
     ) -> None:
         self._adapter = adapter
@@ -43,7 +43,7 @@
         self._catalog = catalog
         self._registry = registry
         self.rollouts = rollouts
-        self._learned = learned
+        self._config_ready = config_ready
         self._routes_changed = routes_changed
 
     def apply_routes(self, changed: Sequence[StoredObject]) -> None:
@@ -54,7 +54,7 @@
             except ValueError as error:
                 log_event("config", "Ignored a broken configuration.", why=error)
                 continue
-            if routes is None or not self._routes.take(
+            if routes is None or not self._routes.apply(
                 routes, stored_version=stored.version
             ):
                 continue
@@ -86,13 +86,13 @@
         for stored in changed:
             name = stored.key.removeprefix(self._adapter.rollouts_prefix)
             if stored.is_removed:
-                self.rollouts.drop(name)
+                self.rollouts.remove_order(name)
                 continue
             try:
-                self.rollouts.take(self._adapter.decode_rollout(stored))
+                self.rollouts.apply_record(self._adapter.decode_rollout(stored))
             except ValueError as error:
                 log_event("rollout", "Ignored a broken order.", service=name, why=error)
 
     def _record_learned(self) -> None:
         if self._routes.current is not None and self._catalog.endpoints_by_id:
-            self._learned.set()
+            self._config_ready.set()
--- a/passtally/object_store.py
+++ b/passtally/object_store.py
@@ -130,10 +130,10 @@
         """Return the platform's host list, which lags behind the hosts' state."""
 
 
-class MovablePlatform(Platform, Protocol):
+class RelocatablePlatform(Platform, Protocol):
     """A platform client whose URL can be changed."""
 
-    def move(self, url: str) -> None:
+    def set_url(self, url: str) -> None:
         """Send all further calls to another URL."""
 
 
@@ -156,9 +156,9 @@
     ) -> None:
         self._on_answer = on_answer
         self._fetcher = fetcher
-        self.move(url)
+        self.set_url(url)
 
-    def move(self, url: str) -> None:
+    def set_url(self, url: str) -> None:
         """Send all further calls to another URL."""
         self._url = url.rstrip("/")
 
--- a/passtally/object_transfer.py
+++ b/passtally/object_transfer.py
@@ -214,7 +214,7 @@
             reply = await self._peers.ask(host_id, message, timeout=PART_TIMEOUT)
         except PeerError as error:
             if not isinstance(error, UnknownPeerError):
-                self._silent.note(host_id, self._clock.monotonic())
+                self._silent.record_silence(host_id, self._clock.monotonic())
             log_event(
                 "transfer",
                 "No part received.",
@@ -265,7 +265,7 @@
 
 
 @attrs.define(kw_only=True)
-class AnswerPace:
+class AnswerRateLimit:
     """Rate limit for answers that carry many small objects. Pure.
 
     When hundreds of endpoints recover together, their entries are 30 KB for each of 55
--- a/passtally/objects.py
+++ b/passtally/objects.py
@@ -12,7 +12,7 @@
 SERVE_ROLE = "serve"
 TOKEN_DIGEST_CHARACTERS = 64
 #: Incarnation of an endpoint that does not report its starts.
-UNTOLD_START = 0
+UNKNOWN_INCARNATION = 0
 REQUEST_CLASSES = ("lookup", "interactive", "job")
 
 
@@ -90,14 +90,14 @@
     """
 
     endpoint_id: str
-    incarnation: int = UNTOLD_START
+    incarnation: int = UNKNOWN_INCARNATION
 
-    def is_followed_by(self, other: "EndpointStart") -> bool:
+    def precedes(self, other: "EndpointStart") -> bool:
         """Return whether ``other`` is a later start of the same endpoint.
 
         False if an incarnation is unknown, since both may be the same start.
         """
-        return UNTOLD_START < self.incarnation < other.incarnation
+        return UNKNOWN_INCARNATION < self.incarnation < other.incarnation
 
 
 @attrs.frozen(kw_only=True)
@@ -129,7 +129,7 @@
     checks_fencing: bool = True
     max_streams: int = 64
     host: str = ""
-    incarnation: int = UNTOLD_START
+    incarnation: int = UNKNOWN_INCARNATION
     role: str = SERVE_ROLE
     versions: tuple[str, ...] = ()
     software: str = ""
@@ -161,7 +161,7 @@
     placements: dict[str, str] = attrs.field(factory=dict)
 
 
-def is_placed(endpoint: Endpoint, service: Service) -> bool:
+def can_serve(endpoint: Endpoint, service: Service) -> bool:
     """Return whether an endpoint's failure domain and role let it serve a service."""
     domains = service.failure_domains
     in_domain = not domains or endpoint.failure_domain in domains
--- a/passtally/operator_api.py
+++ b/passtally/operator_api.py
@@ -122,7 +122,7 @@
 
     async def list_quarantined(self, request: web.Request) -> web.Response:
         """Answer with each quarantined request and the endpoints that it crashed."""
-        suspects = self._crash_guard.held()
+        suspects = self._crash_guard.list_quarantined()
         return _json_response(
             [
                 {"id": suspect.fingerprint.hex(), "ended": suspect.open_crashes}
--- a/passtally/pause_aware_timeout.py
+++ b/passtally/pause_aware_timeout.py
@@ -17,7 +17,7 @@
 MAX_TIMER_LAG = timedelta(milliseconds=10)
 #: Extension of a timeout after a late timer, to read what has arrived, and the maximum
 #: number of extensions: a host that hardly gets to run must still time out.
-LAST_LOOK = timedelta(milliseconds=20)
+TIMEOUT_EXTENSION = timedelta(milliseconds=20)
 MAX_EXTENSIONS = 5
 #: Interval between checks of the clock, which, unlike the event loop's timers, includes
 #: suspensions. Callers notice a pause of 700 ms.
@@ -81,7 +81,7 @@
             self._wait(-lateness)
         elif lateness > MAX_TIMER_LAG and self._extensions_left:
             self._extensions_left -= 1
-            self._arm(LAST_LOOK)
+            self._arm(TIMEOUT_EXTENSION)
         else:
             self.expire()
 
@@ -98,4 +98,4 @@
         await clock.sleep(duration)
         if clock.monotonic() - due_at <= MAX_TIMER_LAG:
             return
-        duration = LAST_LOOK
+        duration = TIMEOUT_EXTENSION
--- a/passtally/peers.py
+++ b/passtally/peers.py
@@ -82,7 +82,7 @@
         super().__init__("there is no link to this peer", step=step, peer=peer)
 
 
-Answerer = Callable[[Any], Awaitable[Message]]
+RequestHandler = Callable[[Any], Awaitable[Message]]
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Message).decode
@@ -118,7 +118,7 @@
         #: Number of requests that wait for each link to connect.
         self._waiting_requests_by_host: Counter[str] = Counter()
         self._readers_by_id: dict[str, asyncio.Task[None]] = {}
-        self._handlers_by_type: dict[type, Answerer] = {}
+        self._handlers_by_type: dict[type, RequestHandler] = {}
         self._listeners_by_type: dict[type, Callable[[Any], None]] = {}
         self._replies_by_number: dict[int, asyncio.Future[Message]] = {}
         self._numbers = itertools.count(1)
@@ -136,7 +136,7 @@
             peer.host_id: peer.failure_domain for peer in self._peers_by_id.values()
         }
 
-    def on(self, kind: type, handler: Answerer) -> None:
+    def on(self, kind: type, handler: RequestHandler) -> None:
         """Set the handler that answers requests of one type."""
         self._handlers_by_type[kind] = handler
 
@@ -354,7 +354,7 @@
         self,
         router: zmq.asyncio.Socket,
         frames: list[bytes],
-        handler: Answerer,
+        handler: RequestHandler,
         message: Message,
     ) -> None:
         try:
--- a/passtally/placement.py
+++ b/passtally/placement.py
@@ -29,7 +29,7 @@
 RESUME_POLL_INTERVAL = timedelta(milliseconds=50)
 
 
-class NoPlaceError(Exception):
+class NoEndpointError(Exception):
     """No endpoint can run a generation in time; the message is the reason."""
 
 
@@ -76,7 +76,7 @@
         self.forecast = forecast or Forecast()
         self._is_suspect = is_suspect
 
-    def move(self, failure_domain: str) -> None:
+    def set_failure_domain(self, failure_domain: str) -> None:
         """Set the failure domain of this host after a change of its settings."""
         self._failure_domain = failure_domain
         self._prefixes.failure_domain = failure_domain
@@ -90,7 +90,7 @@
                 answer that has begun waits, since there may be no other endpoints.
 
         Raises:
-            NoPlaceError: No endpoint is usable, or the answer could not be complete
+            NoEndpointError: No endpoint is usable, or the answer could not be complete
                 before its deadline.
         """
         request = generation.request
@@ -111,7 +111,7 @@
                 return await self._survey_and_log(generation, decision)
             if not self._may_wait(generation, until=deadline):
                 self._log(generation, None, decision)
-                raise NoPlaceError(decision.reason)
+                raise NoEndpointError(decision.reason)
             if generation.delivered:
                 excluded.clear()
             await self._clock.sleep(RESUME_POLL_INTERVAL)
@@ -154,7 +154,7 @@
         """
         try:
             self._check_deadline(generation)
-        except NoPlaceError:
+        except NoEndpointError:
             return False
         return self._decide(generation, excluded).endpoint_id is not None
 
@@ -241,7 +241,7 @@
             position=generation.position,
         )
         if time_left < needed:
-            raise NoPlaceError(
+            raise NoEndpointError(
                 f"the deadline is in {time_left}, and a short answer takes {needed}"
             )
 
@@ -257,7 +257,7 @@
         tokens = queued_tokens + count_prefill_tokens(generation)
         needed = self.forecast.prefill_time(request.service, tokens)
         if needed > request.target:
-            raise NoPlaceError(f"the first output would take at least {needed}")
+            raise NoEndpointError(f"the first output would take at least {needed}")
 
     def _log(
         self,
--- a/passtally/plain.py
+++ b/passtally/plain.py
@@ -66,8 +66,8 @@
         deadline: The time at which the call is aborted, on the monotonic clock.
         patience: The time without an answer after which a repeatable call fails over
             to another endpoint, if there is one and a retry is allowed.
-        must_connect: Whether to send the call on a new connection, because an earlier
-            connection stayed silent.
+        needs_new_connection: Whether to send the call on a new connection, because an
+            earlier connection stayed silent.
         route: The name of the route that selected the service, or empty.
         fingerprint: The fingerprint shared by the caller's retries of this call, see
             :func:`passtally.fingerprint.fingerprint_of`; empty if there is none.
@@ -86,7 +86,7 @@
     max_attempts: int = MAX_ATTEMPTS
     deadline: timedelta | None = None
     patience: timedelta | None = None
-    must_connect: bool = False
+    needs_new_connection: bool = False
     route: str = ""
     fingerprint: bytes = b""
 
@@ -118,14 +118,14 @@
         connect_failures_left: The number of failed connects after which it is refused.
         excluded: The ids of the endpoints that failed the call.
         has_retry: Whether the retry for the next send has been acquired already.
-        must_connect: Whether further sends use new connections.
+        needs_new_connection: Whether further sends use new connections.
     """
 
     sends_left: int
     connect_failures_left: int = MAX_CONNECT_FAILURES
     excluded: set[str] = attrs.field(factory=set)
     has_retry: bool = False
-    must_connect: bool = False
+    needs_new_connection: bool = False
 
 
 class Sender(Protocol):
@@ -209,7 +209,9 @@
             )
             if is_exhausted or not await self._may_retry(call, failure, retry_state):
                 break
-            call = attrs.evolve(call, must_connect=retry_state.must_connect)
+            call = attrs.evolve(
+                call, needs_new_connection=retry_state.needs_new_connection
+            )
             endpoint_id = self._route(call, retry_state.excluded)
         raise self._with_retry_after(failure, service)
 
@@ -362,7 +364,7 @@
 
         await sleep_pause_aware(call.patience, clock=self._clock)
         await wait_for_retry(acquire_failover, clock=self._clock)
-        retry_state.has_retry = retry_state.must_connect = True
+        retry_state.has_retry = retry_state.needs_new_connection = True
         scope.expire()
 
     async def _handle_loss(
--- a/passtally/planner.py
+++ b/passtally/planner.py
@@ -13,8 +13,8 @@
     Service,
     ServiceKind,
     Workspace,
+    can_serve,
     find_problems,
-    is_placed,
 )
 from passtally.statechart import follow
 
@@ -226,7 +226,7 @@
 
 def is_in_use(endpoint: Endpoint, service: Service) -> bool:
     """Return whether the configuration allows requests to an endpoint."""
-    return is_placed(endpoint, service) and endpoint.state is EndpointState.ACTIVE
+    return can_serve(endpoint, service) and endpoint.state is EndpointState.ACTIVE
 
 
 def _plan_put_service(draft: _Draft, params: Mapping[str, str]) -> None:
--- a/passtally/platform/answer_directives.py
+++ b/passtally/platform/answer_directives.py
@@ -41,9 +41,9 @@
         limit=_read(
             head, Directive.LIMIT, names.LIMIT, decode_limit, invalid_by_directive
         ),
-        rest=_read_backoff(head, invalid_by_directive),
+        backoff=_read_backoff(head, invalid_by_directive),
         invalid_by_directive=invalid_by_directive,
-        unread=tuple(_find_unknown(head)),
+        unknown_headers=tuple(_find_unknown(head)),
     )
 
 
@@ -88,7 +88,7 @@
         return None
     seconds = _read(
         head,
-        Directive.REST,
+        Directive.RETRY_AFTER,
         names.RETRY_AFTER,
         decode_retry_after,
         invalid_by_directive,
@@ -119,7 +119,7 @@
     for name, _ in head.headers:
         lower = name.lower()
         if lower.startswith(names.PLATFORM_PREFIXES) and (
-            lower not in names.SAID_BY_ENDPOINTS
+            lower not in names.ENDPOINT_HEADERS
         ):
             yield lower.decode("latin-1")
 
--- a/passtally/platform/decode.py
+++ b/passtally/platform/decode.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from passtally.http_server import ServerLimits
-from passtally.objects import UNTOLD_START, Endpoint, EndpointState
+from passtally.objects import UNKNOWN_INCARNATION, Endpoint, EndpointState
 from passtally.routes import (
     CallKind,
     Route,
@@ -24,7 +24,7 @@
 T = TypeVar("T")
 
 #: Hosts send incarnations to each other as 64-bit integers.
-_Incarnation = Annotated[int, msgspec.Meta(ge=UNTOLD_START, le=(1 << 63) - 1)]
+_Incarnation = Annotated[int, msgspec.Meta(ge=UNKNOWN_INCARNATION, le=(1 << 63) - 1)]
 
 
 class _Split(msgspec.Struct):
@@ -89,7 +89,7 @@
     slots: int = DEFAULT_SLOTS
     #: The Unix time in milliseconds of the endpoint's start. An endpoint may start
     #: again under the same id.
-    born: _Incarnation = UNTOLD_START
+    born: _Incarnation = UNKNOWN_INCARNATION
     #: The version of the endpoint's software, not of its weights or of this entry.
     version: str = ""
     #: Remaining time of the slow phase after a start, in milliseconds, as of the last
--- a/passtally/platform/names.py
+++ b/passtally/platform/names.py
@@ -52,7 +52,7 @@
 EXPECTED_WEIGHTS = b"x-expect-version"
 
 #: Platform headers that are known in answers of endpoints; any other is logged.
-SAID_BY_ENDPOINTS = frozenset(
+ENDPOINT_HEADERS = frozenset(
     (REQUEST_ID, PROOF, NOT_RUN, ANSWERED_BY, LIMIT, LEAVING, RETRY_AFTER, WEIGHTS)
 )
 #: Prefixes of the names of the platform's headers.
--- a/passtally/platform/runner.py
+++ b/passtally/platform/runner.py
@@ -91,7 +91,7 @@
             call.body,
             workspace=call.workspace,
             deadline=call.deadline,
-            must_connect=call.must_connect,
+            needs_new_connection=call.needs_new_connection,
         )
         try:
             body = await connection.read_all(MAX_ANSWER_BYTES)
--- a/passtally/platform/runner_link.py
+++ b/passtally/platform/runner_link.py
@@ -68,7 +68,7 @@
         *,
         workspace: str,
         deadline: timedelta | None,
-        must_connect: bool = False,
+        needs_new_connection: bool = False,
     ) -> tuple[ClientConnection, ResponseHead]:
         """Send a request and return the connection and the answer's head.
 
@@ -79,14 +79,17 @@
             body: The body.
             workspace: The workspace that the request belongs to.
             deadline: The time at which the caller gives up, on the monotonic clock.
-            must_connect: Whether to use a new connection instead of a pooled one.
+            needs_new_connection: Whether to use a new connection instead of a pooled
+                one.
 
         Raises:
             AttemptLostError: No answer of this endpoint arrived, or the endpoint did
                 not run the request.
         """
         try:
-            connection = await self._pool.take(self.address, must_be_new=must_connect)
+            connection = await self._pool.acquire(
+                self.address, must_be_new=needs_new_connection
+            )
         except ExchangeError as error:
             raise self.lost(LossKind.UNREACHABLE, error.detail) from error
         system = self._system_headers(workspace, deadline)
--- a/passtally/platform/store.py
+++ b/passtally/platform/store.py
@@ -94,10 +94,10 @@
         self._full_object_prefixes = full_object_prefixes
         self.calls = 0
 
-    def move(self, url: str) -> None:
+    def set_url(self, url: str) -> None:
         """Make further calls at another address, which counts its own eras."""
         self._era = 0
-        self._link.move(url)
+        self._link.set_url(url)
 
     async def list_objects(self, prefix: str) -> Listing:
         """Return the objects of a kind, at the version of the first page.
--- a/passtally/quarantine.py
+++ b/passtally/quarantine.py
@@ -136,7 +136,7 @@
             return None
         return RETENTION_TIME - (now - suspect.last_crash_at)
 
-    def held(self, *, now: timedelta) -> list[Suspect]:
+    def list_quarantined(self, *, now: timedelta) -> list[Suspect]:
         """Return the quarantined requests."""
         self._remove_expired(now)
         return [
--- a/passtally/quarantine_exchange.py
+++ b/passtally/quarantine_exchange.py
@@ -45,7 +45,7 @@
         guard: The local crash guard.
         peers: The links to other hosts.
         linked_ids: Returns the hosts that this host has a link to.
-        far_ids: Returns those of them that may have no link back to this host.
+        remote_ids: Returns those of them that may have no link back to this host.
         clock: The clock.
         rng: Random source for the choice of the host to ask.
     """
@@ -56,7 +56,7 @@
         guard: CrashGuard,
         peers: Peers,
         linked_ids: Callable[[], Sequence[str]],
-        far_ids: Callable[[], Sequence[str]] = lambda: (),
+        remote_ids: Callable[[], Sequence[str]] = lambda: (),
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -64,7 +64,7 @@
         self._quarantine = guard.quarantine
         self._peers = peers
         self._linked_ids = linked_ids
-        self._far_ids = far_ids
+        self._far_ids = remote_ids
         self._clock = clock
         self._rng = rng
         peers.listen(QuarantineNews, self._receive)
@@ -82,7 +82,7 @@
             await self._send_updates(host_ids)
 
     async def ask(self) -> None:
-        """Fetch the counts after start-up, then regularly from ``far_ids``, forever."""
+        """Fetch counts after start-up, then regularly from ``remote_ids``, forever."""
         while not await self._ask_one(self._linked_ids()):
             await self._clock.sleep(FIRST_ASK_INTERVAL)
         while True:
--- a/passtally/relay.py
+++ b/passtally/relay.py
@@ -68,7 +68,7 @@
         load_changed: Called when the load that the attempt puts on its endpoints
             has changed.
         on_first: Called before the first output is written to the sink.
-        first_limit: See :class:`passtally.live_endpoint.StreamGuard`.
+        first_output_limit: See :class:`passtally.live_endpoint.StreamGuard`.
         may_fail_over: Returns whether the answer may fail over to another endpoint
             after a loss of the given kind.
     """
@@ -84,7 +84,7 @@
         replica: LiveEndpoint | None = None,
         load_changed: Callable[[], None],
         on_first: Callable[[], None],
-        first_limit: Callable[[int], timedelta | None] = lambda tokens: None,
+        first_output_limit: Callable[[int], timedelta | None] = lambda tokens: None,
         may_fail_over: MayFailOver = always_fail_over,
     ) -> None:
         self._generation = generation
@@ -99,7 +99,7 @@
         self._failover_check: asyncio.Task[None] | None = None
         self._guard = StreamGuard(
             quiet_since=clock.monotonic(),
-            first_limit=first_limit,
+            first_output_limit=first_output_limit,
             max_gap=generation.request.max_gap,
             fingerprint=generation.request.fingerprint,
         )
@@ -156,12 +156,12 @@
         stream: TokenStream | None = None
         try:
             async with asyncio.timeout(None) as scope:
-                self._guard.trip = lambda: self._start_failover_check(scope)
+                self._guard.on_loss = lambda: self._start_failover_check(scope)
                 stream = await self._open(attach=attach)
                 self._attempt.begun_at = self._clock.monotonic()
                 await self._read(stream)
         except TimeoutError as error:
-            kind = self._guard.tripped or LossKind.FROZEN
+            kind = self._guard.loss_kind or LossKind.FROZEN
             raise self._lost(kind, "stream", "silence") from error
         finally:
             if self._failover_check is not None:
@@ -184,26 +184,26 @@
                 peer=self._live.endpoint.id,
                 why=error,
             )
-            self._guard.hold(self._clock.monotonic())
+            self._guard.keep_waiting(self._clock.monotonic())
 
     async def _check_failover(self, scope: asyncio.Timeout) -> None:
         """Time the attempt out if its answer may fail over; else keep waiting."""
         guard = self._guard
         reads = guard.reads
-        may_fail_over = guard.is_lost or await self._may_fail_over(guard.tripped)
+        may_fail_over = guard.is_lost or await self._may_fail_over(guard.loss_kind)
         if guard.is_lost or (may_fail_over and guard.reads == reads):
             scope.reschedule(asyncio.get_running_loop().time())
             return
-        if not guard.is_held:
+        if not guard.is_kept_waiting:
             log_event(
                 "silence",
                 "Endpoint silent and no failover possible; still waiting.",
                 request=self._generation.request.id,
                 peer=self._live.endpoint.id,
-                loss=guard.tripped,
+                loss=guard.loss_kind,
                 position=self._generation.position,
             )
-        guard.hold(self._clock.monotonic())
+        guard.keep_waiting(self._clock.monotonic())
 
     async def _open(self, *, attach: bool) -> TokenStream:
         generation, engine = self._generation, self._live.engine
@@ -223,8 +223,8 @@
             guard.reads += 1
             if guard.reads == 1:
                 self._record_first_output()
-            if guard.is_held:
-                guard.is_held = False
+            if guard.is_kept_waiting:
+                guard.is_kept_waiting = False
                 self._live.reset_ejection()
             guard.is_waiting = False
             await self._deliver_events(events)
--- a/passtally/replica.py
+++ b/passtally/replica.py
@@ -109,7 +109,7 @@
         shows the restart only later, one needless copy is made.
         """
         replica_id = self._attempt.replica_id
-        if self._replica_start.is_followed_by(self._fleet.start_of(replica_id)):
+        if self._replica_start.precedes(self._fleet.start_of(replica_id)):
             return True
         return not self._fleet.is_usable(replica_id)
 
--- a/passtally/request_limits.py
+++ b/passtally/request_limits.py
@@ -102,7 +102,7 @@
         self._refill(limit, now)
         return limit.credit >= 1
 
-    def take(self, start: EndpointStart, *, now: timedelta) -> bool:
+    def acquire(self, start: EndpointStart, *, now: timedelta) -> bool:
         """Take the credit for one request; return whether there was enough."""
         if not self.has_capacity(start, now=now):
             return False
--- a/passtally/retry_budget.py
+++ b/passtally/retry_budget.py
@@ -182,7 +182,8 @@
         extra: Returns the number of extra retries of this host for one service.
         window: The length of the window.
         clock: The clock.
-        resume_part: The part of the extra retries that is reserved for resumes, 0 to 1.
+        resume_share: The part of the extra retries that is reserved for resumes, 0 to
+            1.
         warm_up: The time after its start in which this host has only a part of its
             extra retries, as it does not know yet how many hosts share them.
         ask_others: Asks other hosts for retries of a service, and returns the number
@@ -196,7 +197,7 @@
         extra: Callable[[], float],
         window: timedelta,
         clock: Clock,
-        resume_part: float = 0.5,
+        resume_share: float = 0.5,
         warm_up: timedelta = timedelta(0),
         ask_others: Lend = lend_nothing,
     ) -> None:
@@ -204,7 +205,7 @@
         self._extra = extra
         self.window = window
         self._clock = clock
-        self._resume_part = resume_part
+        self._resume_part = resume_share
         self._warm_up = warm_up
         self._ask_others = ask_others
         self._started_at = clock.monotonic()
--- a/passtally/rollout_trial.py
+++ b/passtally/rollout_trial.py
@@ -90,7 +90,7 @@
             extra=self._current_slack,
             window=2 * self.order.within,
             clock=clock,
-            resume_part=0.0,
+            resume_share=0.0,
             ask_others=ask_others,
         )
 
--- a/passtally/rollouts.py
+++ b/passtally/rollouts.py
@@ -66,7 +66,7 @@
         life: A number that increases with each start of this host.
         share: The fraction of the requests that may go to a bad version.
         slack: The number of further requests that may, over all hosts.
-        least_hosts: The minimum number of hosts assumed to share the slack.
+        min_hosts: The minimum number of hosts assumed to share the slack.
         catalog: The index of services and endpoints.
         loans: Lends trial budget to other hosts and borrows from them.
         peers: The links to other hosts.
@@ -86,7 +86,7 @@
         life: int,
         share: float,
         slack: float,
-        least_hosts: int,
+        min_hosts: int,
         catalog: ServiceIndex,
         loans: BudgetLoans,
         peers: Peers,
@@ -102,7 +102,7 @@
         self._life = life
         self._share = share
         self._slack = slack
-        self._least_hosts = least_hosts
+        self._least_hosts = min_hosts
         self._catalog = catalog
         self._loans = loans
         self._peers = peers
@@ -138,12 +138,12 @@
                 self._trials_by_service.pop(service), why="roll-outs disabled"
             )
 
-    def use(self, fleet: Fleet) -> None:
+    def set_fleet(self, fleet: Fleet) -> None:
         """Set the fleet, which itself depends on this object."""
         self._fleet = fleet
 
     @property
-    def under_way(self) -> int:
+    def active_count(self) -> int:
         """The number of roll-outs that have not ended."""
         trials = self._trials_by_service.values()
         return sum(not trial.rollout.is_over for trial in trials)
@@ -156,7 +156,7 @@
             for service, trial in self._trials_by_service.items()
         }
 
-    def take(self, record: RolloutRecord) -> None:
+    def apply_record(self, record: RolloutRecord) -> None:
         """Start the roll-out of a new order, or apply a newer record of a known one."""
         service = record.order.service
         trial = self._trials_by_service.get(service)
@@ -172,7 +172,7 @@
             clock=self._clock,
             share=self._share,
             slack=self._slack,
-            hosts=lambda: max(self._roster.peak, self._least_hosts),
+            hosts=lambda: max(self._roster.peak_hosts, self._least_hosts),
             judge=self._judge,
             ask_others=partial(self._loans.ask, scope=record.order.id),
         )
@@ -181,7 +181,7 @@
         trial.log_state(why="ordered", within=record.order.within)
         self._has_order.set()
 
-    def drop(self, service: str) -> None:
+    def remove_order(self, service: str) -> None:
         """Withdraw a service's roll-out after its order was removed."""
         trial = self._trials_by_service.pop(service, None)
         if trial is not None:
@@ -197,7 +197,7 @@
         # Once the order has expired, a rejected version serves if there is no other.
         return trial.is_expired and not self._has_other_version(endpoint)
 
-    def is_tried(self, endpoint: Endpoint) -> bool:
+    def accepts_trials(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint may get trials of a new version."""
         trial = self._trials_by_service.get(endpoint.service)
         return trial is not None and endpoint.id in trial.tried_ids
@@ -339,7 +339,7 @@
         else:
             log_event("rollout", "State recorded.", **fields)
 
-    def meet(self, endpoint: Endpoint) -> None:
+    def record_endpoint(self, endpoint: Endpoint) -> None:
         """Record the version and start of a new or restarted endpoint."""
         known = self._oldest_by_service.get(endpoint.service)
         if known is None or endpoint.incarnation < known.incarnation:
--- a/passtally/roster.py
+++ b/passtally/roster.py
@@ -48,7 +48,7 @@
         self._peers = peers
         self._clock = clock
         #: Maximum number of hosts reachable at once so far, this host included.
-        self.peak = 1
+        self.peak_hosts = 1
         #: Whether to link to all hosts of the local failure domain.
         self.links_domain = False
         #: Hosts that are linked in any case: this host gets its updates from them.
@@ -61,7 +61,7 @@
         """Return the rows of the other hosts that are reachable."""
         return self._table.reachable()
 
-    def use_seeds(self, seeds: Sequence[Address]) -> None:
+    def set_seeds(self, seeds: Sequence[Address]) -> None:
         """Replace the seeds, and close links to former seeds that never answered."""
         self._seeds = seeds
         kept = {f"{SEED_PREFIX}{address}" for address in seeds}
@@ -100,7 +100,7 @@
             return
         own_address = self._table.own.address
         rows = [row for row in self.others() if row.address not in ("", own_address)]
-        self.peak = max(self.peak, len(rows) + 1)
+        self.peak_hosts = max(self.peak_hosts, len(rows) + 1)
         chosen = choose_links(self._table.own, rows, whole_domain=self.links_domain)
         chosen += [row for row in rows if row.host_id in self.source_ids]
         # A row with the address of this host belongs to one of its former names.
@@ -163,7 +163,7 @@
         """The failure domain of the local host."""
         return self._table.own.failure_domain
 
-    def far_ids(self) -> list[str]:
+    def remote_ids(self) -> list[str]:
         """Return the reachable linked hosts of other failure domains."""
         own = self.failure_domain
         return [row.host_id for row in self.linked() if row.failure_domain != own]
--- a/passtally/routes.py
+++ b/passtally/routes.py
@@ -67,7 +67,7 @@
     is_resumable: bool = False
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a lost request may be retried."""
         if self.kind is CallKind.STREAM:
             return self.is_resumable
@@ -206,7 +206,7 @@
     def _find_service(self, service_id: str) -> ServiceInfo | None:
         return self.current.services_by_id.get(service_id) if self.current else None
 
-    def renew(self) -> None:
+    def accept_any_version(self) -> None:
         """Accept the next set at any version, since it may come from another store.
 
         A set of a later era of the store is excepted. It is from the older copy that
@@ -214,11 +214,11 @@
         """
         self._accepts_any_version = True
 
-    def take(self, routes: RouteSet, *, stored_version: int = 0) -> bool:
+    def apply(self, routes: RouteSet, *, stored_version: int = 0) -> bool:
         """Apply a set if its version is higher than that of the current one.
 
-        The first set after :meth:`renew` is applied at any version, except as stated
-        there.
+        The first set after :meth:`accept_any_version` is applied at any version, except
+        as stated there.
 
         Args:
             routes: The new set.
--- a/passtally/shared_watch.py
+++ b/passtally/shared_watch.py
@@ -125,7 +125,7 @@
     def is_up(self) -> bool:
         """Whether this host's own watches are up."""
         views = self._views_by_prefix.values()
-        return all(view.follower.is_watching for view in views if view.is_vital)
+        return all(view.follower.is_watching for view in views if view.is_required)
 
     def replace(self, view: View, listing: Listing) -> None:
         """Apply a complete listing from the platform, and forward its changes."""
@@ -175,13 +175,13 @@
                 view.task.cancel()
             if self._election.is_watching:
                 self._watch(view, after=0)
-            elif view.is_vital:
+            elif view.is_required:
                 view.task = self._keep_running(view, view.follower.list_once)
 
     async def run(self) -> None:
         """List once, then watch whenever this host is elected, until cancelled."""
         for view in self._views_by_prefix.values():
-            if view.is_vital:
+            if view.is_required:
                 view.task = self._keep_running(view, view.follower.list_once)
         heartbeat_at = timedelta(0)
         was_up = False
@@ -216,9 +216,9 @@
         """Return whether another host is known to have a newer version."""
         return self._learner.is_behind(prefix)
 
-    def behind_for(self, prefix: str) -> timedelta:
+    def time_behind(self, prefix: str) -> timedelta:
         """Return the time since another host is known to have a newer version."""
-        return self._learner.behind_for(prefix)
+        return self._learner.time_behind(prefix)
 
     def _check_isolation(self, now: timedelta) -> None:
         """Probe hosts of the domain while no watcher's heartbeats arrive."""
@@ -231,10 +231,10 @@
     async def _probe(self) -> None:
         candidate_ids = self._neighbour_ids()
         probed = self._rng.sample(candidate_ids, min(PROBED_HOSTS, len(candidate_ids)))
-        answers = await asyncio.gather(*map(self._is_there, probed))
+        answers = await asyncio.gather(*map(self._is_responding, probed))
         self._is_isolated = bool(probed) and not any(answers)
 
-    async def _is_there(self, host_id: str) -> bool:
+    async def _is_responding(self, host_id: str) -> bool:
         """Return whether a host answers a request that returns no objects."""
         try:
             await self._peers.ask(host_id, FetchConfig(after=0, prefix=""))
@@ -287,7 +287,7 @@
         listing = pack_listing(view.mirror.version, small)
         if len(listing) > PART_BYTES:
             # Too large to send to all at once. The heartbeat makes the other hosts
-            # request the changes, and AnswerPace answers them one after the other.
+            # request the changes, and AnswerRateLimit answers them one after the other.
             self._spawn(self._send_heartbeat())
         elif recipients:
             message = ViewChanges(
--- a/passtally/silent_hosts.py
+++ b/passtally/silent_hosts.py
@@ -16,7 +16,7 @@
 
     _until_by_host: dict[str, timedelta] = attrs.field(factory=dict)
 
-    def note(self, host_id: str, now: timedelta) -> None:
+    def record_silence(self, host_id: str, now: timedelta) -> None:
         """Record that a host did not answer.
 
         Args:
--- a/passtally/versions.py
+++ b/passtally/versions.py
@@ -12,7 +12,7 @@
     def allows(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint may get requests that are not trials."""
 
-    def is_tried(self, endpoint: Endpoint) -> bool:
+    def accepts_trials(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint may get trial requests of a new version."""
 
     def acquire_trial(self, service: str) -> bool:
@@ -41,14 +41,14 @@
         """
 
 
-class AnyVersion:
+class AllVersions:
     """Sends requests to all versions, without trials."""
 
     def allows(self, endpoint: Endpoint) -> bool:
         """Return True."""
         return True
 
-    def is_tried(self, endpoint: Endpoint) -> bool:
+    def accepts_trials(self, endpoint: Endpoint) -> bool:
         """Return False."""
         return False
 
--- a/passtally/view.py
+++ b/passtally/view.py
@@ -24,7 +24,7 @@
             listing before that.
         behind_since: Monotonic time since which another host is known to have a newer
             version; None if this host is up to date.
-        is_vital: Whether each host lists the prefix when it starts, and counts as
+        is_required: Whether each host lists the prefix when it starts, and counts as
             watching only while this watch is up. Prefixes that change a few times a day
             are not vital: a host gets their changes from the watchers.
     """
@@ -35,4 +35,4 @@
     follower: Follower | None = None
     task: asyncio.Task[None] | None = None
     behind_since: timedelta | None = None
-    is_vital: bool = True
+    is_required: bool = True
--- a/passtally/view_learner.py
+++ b/passtally/view_learner.py
@@ -25,7 +25,7 @@
 )
 from passtally.object_store import Listing, StoredObject
 from passtally.object_transfer import (
-    AnswerPace,
+    AnswerRateLimit,
     ObjectTransfer,
     TransferError,
     pack_listing,
@@ -100,7 +100,7 @@
             silent=self._silent,
             find=self._find,
         )
-        self._pace = AnswerPace()
+        self._pace = AnswerRateLimit()
         self._tasks: set[asyncio.Task[None]] = set()
         peers.on(FetchConfig, self._answer)
         peers.listen(ViewChanges, self.receive_changes)
@@ -151,7 +151,7 @@
             or self._newer_remote_rows(prefix, newest)
         )
 
-    def behind_for(self, prefix: str) -> timedelta:
+    def time_behind(self, prefix: str) -> timedelta:
         """Return the time since another host is known to have a newer version."""
         since = self._views_by_prefix[prefix].behind_since
         return timedelta(0) if since is None else self._clock.monotonic() - since
@@ -219,7 +219,7 @@
             log_event("watch", "Peer did not answer.", peer=host_id, why=error)
             self._versions_by_host.pop(host_id, None)
             if not isinstance(error, UnknownPeerError):
-                self._silent.note(host_id, self._clock.monotonic())
+                self._silent.record_silence(host_id, self._clock.monotonic())
             return
         finally:
             self._querying.discard(view.prefix)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -17,11 +17,11 @@
 
 from soak.caller import Caller
 from soak.evidence import APPLY_SECONDS, MARGIN_SECONDS, Evidence
-from soak.faults import Saboteur
-from soak.requests import RequestSaboteur
-from soak.settings_changes import SettingsSaboteur
-from soak.starts import StartSaboteur
-from soak.words import WordSaboteur
+from soak.faults import FaultInjector
+from soak.requests import RequestFaultInjector
+from soak.settings_changes import SettingsFaultInjector
+from soak.starts import StartFaultInjector
+from soak.words import DirectiveFaultInjector
 from soak.world import EVENTS, World
 
 HOSTS = 4
@@ -88,23 +88,23 @@
     setup: Setup, world: World, evidence: Evidence, rng: random.Random
 ) -> None:
     """Inject the faults of a seed, then wait until the system can have recovered."""
-    series = [Saboteur(world=world, evidence=evidence, rng=rng).run(setup.seconds)]
+    series = [FaultInjector(world=world, evidence=evidence, rng=rng).run(setup.seconds)]
     # Each further series has its own generator, so that the draws of the first series
     # and of the callers do not depend on which series are enabled.
     own_rng = random.Random(f"starts of {setup.seed}")
-    starts = StartSaboteur(world=world, evidence=evidence, rng=own_rng)
+    starts = StartFaultInjector(world=world, evidence=evidence, rng=own_rng)
     if setup.starts:
         series.append(starts.run(setup.seconds))
     if setup.settings:
         own_rng = random.Random(f"settings of {setup.seed}")
-        changes = SettingsSaboteur(world=world, evidence=evidence, rng=own_rng)
+        changes = SettingsFaultInjector(world=world, evidence=evidence, rng=own_rng)
         series.append(changes.run(setup.seconds))
     if setup.requests:
         own_rng = random.Random(f"requests of {setup.seed}")
-        requests = RequestSaboteur(world=world, evidence=evidence, rng=own_rng)
+        requests = RequestFaultInjector(world=world, evidence=evidence, rng=own_rng)
         series.append(requests.run(setup.seconds))
     own_rng = random.Random(f"words of {setup.seed}")
-    words = WordSaboteur(world=world, evidence=evidence, rng=own_rng)
+    words = DirectiveFaultInjector(world=world, evidence=evidence, rng=own_rng)
     if setup.words:
         series.append(words.run(setup.seconds))
     await asyncio.gather(*series)
@@ -136,10 +136,12 @@
     """Record the version in force at each host until cancelled."""
     while True:
         for host in world.hosts_by_name.values():
-            life = host.life
+            process_run = host.process_run
             version = await world.read_version(host)
-            if version and life is host.life:
-                evidence.versions_by_life.setdefault(life.name, []).append(version)
+            if version and process_run is host.process_run:
+                evidence.versions_by_process_run.setdefault(
+                    process_run.name, []
+                ).append(version)
         await asyncio.sleep(POLL_SECONDS)
 
 
@@ -149,7 +151,9 @@
     await asyncio.sleep(APPLY_SECONDS + MARGIN_SECONDS)
     for host in world.hosts_by_name.values():
         if not host.is_up:
-            evidence.report(f"{host.name} ended with status {host.life.popen.poll()}")
+            evidence.report(
+                f"{host.name} ended with status {host.process_run.popen.poll()}"
+            )
         version = await world.read_version(host)
         if version != world.version:
             evidence.report(f"{host.name} has version {version}, not {world.version}")
--- a/soak/ends.py
+++ b/soak/ends.py
@@ -35,7 +35,7 @@
 
     Attributes:
         host: The host's name.
-        life: The number of the process among the host's processes.
+        process_run: The number of the process among the host's processes.
         status: Its exit status; the negative signal number if a signal terminated it.
         told: The signals that the soak had sent to it.
         began_at: Time of its start on the monotonic clock, in seconds.
@@ -44,7 +44,7 @@
     """
 
     host: str
-    life: int
+    process_run: int
     status: int
     told: tuple[SentSignal, ...] = ()
     began_at: float = 0.0
@@ -76,6 +76,6 @@
         numbers = {told.number for told in self.told}
         how = "stopped" if numbers & STOP_SIGNALS else "ended by itself"
         return (
-            f"{self.host}.{self.life} {how} with status {self.status}"
+            f"{self.host}.{self.process_run} {how} with status {self.status}"
             f" after {self.lasted:.2f} s: {self.last_line or 'no line'}"
         )
--- a/soak/evidence.py
+++ b/soak/evidence.py
@@ -97,7 +97,7 @@
         faults: The injected faults.
         draining_since: The time at which each drained endpoint's store entry changed
             to draining.
-        versions_by_life: The configuration versions read from each host process.
+        versions_by_process_run: The configuration versions read from each host process.
         exits: The exits of the host processes.
         violations: The broken promises, a line each.
     """
@@ -108,7 +108,7 @@
     ran: Counter[str] = attrs.field(factory=Counter)
     faults: list[FaultRecord] = attrs.field(factory=list)
     draining_since: dict[str, float] = attrs.field(factory=dict)
-    versions_by_life: dict[str, list[int]] = attrs.field(factory=dict)
+    versions_by_process_run: dict[str, list[int]] = attrs.field(factory=dict)
     exits: list[ProcessExit] = attrs.field(factory=list)
     violations: list[str] = attrs.field(factory=list)
 
@@ -121,9 +121,9 @@
         for outcome in self.tries:
             self._judge_try(outcome)
             self._judge_answered(outcome)
-        for life, versions in self.versions_by_life.items():
+        for process_run, versions in self.versions_by_process_run.items():
             if versions != sorted(versions):
-                self.report(f"{life}: the configuration went back: {versions}")
+                self.report(f"{process_run}: the configuration went back: {versions}")
         for exit_record in self.exits:
             if not exit_record.is_allowed:
                 self.report(exit_record.describe())
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -14,7 +14,7 @@
 LINK_FAULTS = [fault for fault in LinkFault if fault is not LinkFault.NONE]
 
 
-class Saboteur(FaultSeries):
+class FaultInjector(FaultSeries):
     """Injects faults into hosts, endpoints, the store and the links between them."""
 
     def __init__(self, *, world: World, evidence: Evidence, rng: random.Random) -> None:
@@ -43,9 +43,9 @@
         host = self._pick_host()
         if host is None:
             return
-        began_at, life = now(), host.life
-        life.kill()
-        await asyncio.to_thread(life.popen.wait)
+        began_at, process_run = now(), host.process_run
+        process_run.kill()
+        await asyncio.to_thread(process_run.popen.wait)
         await asyncio.sleep(duration / 2)
         self._world.start_host(host)
         self._record_fault("kill", host.name, began_at)
@@ -53,11 +53,11 @@
     async def _kill_all(self, duration: float) -> None:
         began_at = now()
         hosts = [host for host in self._world.hosts_by_name.values() if host.is_up]
-        killed = [host.life for host in hosts]
-        for life in killed:
-            life.kill()
-        for life in killed:
-            await asyncio.to_thread(life.popen.wait)
+        killed = [host.process_run for host in hosts]
+        for process_run in killed:
+            process_run.kill()
+        for process_run in killed:
+            await asyncio.to_thread(process_run.popen.wait)
         await asyncio.sleep(duration / 2)
         for host in hosts:
             self._world.start_host(host)
@@ -67,13 +67,13 @@
         host = self._pick_host()
         if host is None:
             return
-        began_at, life = now(), host.life
-        life.popen.send_signal(signal.SIGSTOP)
-        life.pauses += 1
+        began_at, process_run = now(), host.process_run
+        process_run.popen.send_signal(signal.SIGSTOP)
+        process_run.pauses += 1
         await asyncio.sleep(duration)
-        life.pauses -= 1
-        if life.popen.poll() is None:
-            life.popen.send_signal(signal.SIGCONT)
+        process_run.pauses -= 1
+        if process_run.popen.poll() is None:
+            process_run.popen.send_signal(signal.SIGCONT)
         self._record_fault("pause", host.name, began_at)
 
     async def _stop(self, duration: float) -> None:
@@ -81,9 +81,9 @@
         host = self._pick_host()
         if host is None:
             return
-        began_at, life = now(), host.life
-        life.send(signal.SIGTERM)
-        await self._wait_stopped(life)
+        began_at, process_run = now(), host.process_run
+        process_run.send(signal.SIGTERM)
+        await self._wait_stopped(process_run)
         self._record_fault("stop", host.name, began_at, is_planned=True)
         self._world.start_host(host)
 
@@ -93,7 +93,7 @@
             return
         began_at = now()
         host.touch_settings()
-        host.life.send(signal.SIGHUP)
+        host.process_run.send(signal.SIGHUP)
         await asyncio.sleep(duration / 4)
         self._record_fault("reload", host.name, began_at, is_planned=True)
 
--- a/soak/host.py
+++ b/soak/host.py
@@ -27,7 +27,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Life:
+class ProcessRun:
     """One process of a host, from its start to its exit.
 
     Attributes:
@@ -84,7 +84,7 @@
         """Return the record of its exit; waits for the exit if it still runs."""
         return ProcessExit(
             host=self.host.name,
-            life=self.number,
+            process_run=self.number,
             status=self.popen.wait(),
             told=tuple(self.told),
             began_at=self.started_at,
@@ -127,7 +127,7 @@
         store_link: The link to the store whose address is in its settings.
         spare_link: A second link to the store, for changes of that address.
         front_port: The port that callers connect to.
-        lives: Its processes in order of their starts.
+        process_runs: Its processes in order of their starts.
         held: Names of its addresses that another socket occupies.
     """
 
@@ -138,7 +138,7 @@
     store_link: FaultyLink
     spare_link: FaultyLink
     front_port: int = FRONT_PORT
-    lives: list[Life] = attrs.field(factory=list)
+    process_runs: list[ProcessRun] = attrs.field(factory=list)
     held: list[str] = attrs.field(factory=list)
 
     @property
@@ -162,14 +162,14 @@
         return {name: (self.ip, port) for name, port in ports.items()}
 
     @property
-    def life(self) -> Life:
+    def process_run(self) -> ProcessRun:
         """Its latest process, whether it runs or has exited."""
-        return self.lives[-1]
+        return self.process_runs[-1]
 
     @property
     def is_up(self) -> bool:
         """Whether its latest process is running."""
-        return bool(self.lives) and not self.life.is_over
+        return bool(self.process_runs) and not self.process_run.is_over
 
     def touch_settings(self) -> None:
         """Write its settings file with a new value of a key that has no effect."""
@@ -211,7 +211,7 @@
         """
         if self.is_up:
             return
-        number = len(self.lives) + 1
+        number = len(self.process_runs) + 1
         log = self.path.with_name(f"{self.name}.{number}.log")
         with log.open("wb") as output:
             popen = subprocess.Popen(
@@ -220,10 +220,10 @@
                 stdout=output,
                 stderr=subprocess.STDOUT,
             )
-        life = Life(
+        process_run = ProcessRun(
             host=self,
             number=number,
             popen=popen,
             log=log,
         )
-        self.lives.append(life)
+        self.process_runs.append(process_run)
--- a/soak/requests.py
+++ b/soak/requests.py
@@ -24,7 +24,7 @@
 _numbers = itertools.count(1)
 
 
-class RequestSaboteur(FaultSeries):
+class RequestFaultInjector(FaultSeries):
     """Sends fatal requests, and lets endpoints announce request limits."""
 
     min_pause = 0.5
@@ -59,18 +59,23 @@
         # Each process of a host may be running one try when the request reaches the
         # crash limit; a process that has just started has not yet queried the other
         # hosts for quarantined requests.
-        max_crashes = MAX_CRASHES + self._count_lives(since=began_at)
+        max_crashes = MAX_CRASHES + self._count_process_runs(since=began_at)
         if crashes > max_crashes and not self._lost_state_since(began_at):
             self._evidence.report(
                 f"a request crashed {crashes} endpoints, at most {max_crashes} allowed"
             )
 
-    def _count_lives(self, *, since: float) -> int:
+    def _count_process_runs(self, *, since: float) -> int:
         """Return the number of host processes that ran at or after a time."""
-        lives = [
-            life for host in self._world.hosts_by_name.values() for life in host.lives
+        process_runs = [
+            process_run
+            for host in self._world.hosts_by_name.values()
+            for process_run in host.process_runs
         ]
-        return sum(life.ended_at is None or life.ended_at > since for life in lives)
+        return sum(
+            process_run.ended_at is None or process_run.ended_at > since
+            for process_run in process_runs
+        )
 
     def _lost_state_since(self, began_at: float) -> bool:
         return any(
--- a/soak/series.py
+++ b/soak/series.py
@@ -8,7 +8,7 @@
 import attrs
 
 from soak.evidence import Evidence, FaultRecord, now
-from soak.host import HostProcess, Life
+from soak.host import HostProcess, ProcessRun
 from soak.world import GRACE_SECONDS, Place, World
 
 #: Minimum and maximum duration of a fault, in seconds.
@@ -97,10 +97,10 @@
         )
         self._evidence.faults.append(fault)
 
-    async def _wait_stopped(self, life: Life) -> None:
+    async def _wait_stopped(self, process_run: ProcessRun) -> None:
         """Wait for a process to stop, and kill it at the end of its grace period."""
         try:
-            await asyncio.to_thread(life.popen.wait, GRACE_SECONDS)
+            await asyncio.to_thread(process_run.popen.wait, GRACE_SECONDS)
         except subprocess.TimeoutExpired:
-            life.kill()
-            await asyncio.to_thread(life.popen.wait)
+            process_run.kill()
+            await asyncio.to_thread(process_run.popen.wait)
--- a/soak/settings_changes.py
+++ b/soak/settings_changes.py
@@ -27,7 +27,7 @@
 CHANGE_PAUSE = 0.2
 
 
-class SettingsSaboteur(FaultSeries):
+class SettingsFaultInjector(FaultSeries):
     """Changes or truncates settings files of hosts, with and without SIGHUP."""
 
     min_pause = 0.2
@@ -54,7 +54,7 @@
         """Write a host's settings file, and send SIGHUP if ``is_signalled``."""
         host.write_settings()
         if is_signalled:
-            host.life.send(signal.SIGHUP)
+            host.process_run.send(signal.SIGHUP)
 
     async def _change(self, kind: str, host: HostProcess, key: str, value: str) -> None:
         is_signalled = self._rng.random() < 0.5
@@ -94,15 +94,22 @@
         the host restarts, is paused or finds an address occupied. Another change of
         the setting ends the wait.
         """
-        wanted, life = host.settings[key], host.life
+        wanted, process_run = host.settings[key], host.process_run
         due_at = now() + SETTINGS_APPLY_SECONDS
         while not await host.accepts(wanted):
             if host.settings[key] != wanted:
                 return
-            if host.life is not life or life.is_over or life.pauses or host.held:
-                life, due_at = host.life, now() + SETTINGS_APPLY_SECONDS
+            if (
+                host.process_run is not process_run
+                or process_run.is_over
+                or process_run.pauses
+                or host.held
+            ):
+                process_run, due_at = host.process_run, now() + SETTINGS_APPLY_SECONDS
             if now() > due_at:
-                self._evidence.report(f"{life.name} does not listen at {key}={wanted}")
+                self._evidence.report(
+                    f"{process_run.name} does not listen at {key}={wanted}"
+                )
                 return
             await asyncio.sleep(POLL_SECONDS)
         if key == "listen.front" and host.settings[key] == wanted:
@@ -180,7 +187,7 @@
         began_at = now()
         host.write_truncated_settings(part)
         if is_signalled:
-            host.life.send(signal.SIGHUP)
+            host.process_run.send(signal.SIGHUP)
         await asyncio.sleep(min(duration, MAX_BROKEN_SECONDS))
         self._write_settings(host, is_signalled=is_signalled)
         self._record_fault("broken file", host.name, began_at, is_planned=True)
--- a/soak/starts.py
+++ b/soak/starts.py
@@ -6,7 +6,7 @@
 import socket
 
 from soak.evidence import Evidence, now
-from soak.host import HostProcess, Life
+from soak.host import HostProcess, ProcessRun
 from soak.series import Fault, FaultSeries
 from soak.world import World
 
@@ -19,7 +19,7 @@
 MAX_OCCUPIED_SECONDS = 3.0
 
 
-class StartSaboteur(FaultSeries):
+class StartFaultInjector(FaultSeries):
     """Stops, kills and restarts hosts while they start or stop.
 
     Also occupies one of their addresses while they start.
@@ -39,34 +39,34 @@
         }
 
     async def _kill(self, host: HostProcess) -> None:
-        life = host.life
-        life.kill()
-        await asyncio.to_thread(life.popen.wait)
+        process_run = host.process_run
+        process_run.kill()
+        await asyncio.to_thread(process_run.popen.wait)
 
-    async def _kill_and_restart(self, host: HostProcess) -> Life:
+    async def _kill_and_restart(self, host: HostProcess) -> ProcessRun:
         """Kill a host, restart it at once and return its new process."""
         await self._kill(host)
         self._world.start_host(host)
-        return host.life
+        return host.process_run
 
     async def _stop_early(self, duration: float) -> None:
         host, wait = self._draw_host(), self._rng.uniform(0, STARTUP_SECONDS)
         number = self._rng.choice((signal.SIGTERM, signal.SIGINT))
         began_at = now()
-        life = await self._kill_and_restart(host)
+        process_run = await self._kill_and_restart(host)
         await asyncio.sleep(wait)
-        life.send(number)
-        await self._wait_stopped(life)
+        process_run.send(number)
+        await self._wait_stopped(process_run)
         self._world.start_host(host)
         self._record_fault("early stop", host.name, began_at)
 
     async def _reload_early(self, duration: float) -> None:
         host, wait = self._draw_host(), self._rng.uniform(0, STARTUP_SECONDS)
         began_at = now()
-        life = await self._kill_and_restart(host)
+        process_run = await self._kill_and_restart(host)
         await asyncio.sleep(wait)
         host.touch_settings()
-        life.send(signal.SIGHUP)
+        process_run.send(signal.SIGHUP)
         self._record_fault("early reload", host.name, began_at)
 
     async def _kill_in_a_row(self, duration: float) -> None:
@@ -82,11 +82,11 @@
 
     async def _stop_twice(self, duration: float) -> None:
         host, wait = self._draw_host(), self._rng.uniform(0, MAX_PAUSE_SECONDS)
-        began_at, life = now(), host.life
-        life.send(signal.SIGTERM)
+        began_at, process_run = now(), host.process_run
+        process_run.send(signal.SIGTERM)
         await asyncio.sleep(wait)
-        life.send(signal.SIGTERM)
-        await self._wait_stopped(life)
+        process_run.send(signal.SIGTERM)
+        await self._wait_stopped(process_run)
         self._record_fault("stop twice", host.name, began_at, is_planned=True)
         self._world.start_host(host)
 
@@ -95,11 +95,13 @@
 
         Reports each host that had to be killed at the end of its grace period.
         """
-        lives = [host.life for host in self._world.hosts_by_name.values()]
+        process_runs = [host.process_run for host in self._world.hosts_by_name.values()]
         await self._stop_twice(0.0)
-        for life in lives:
-            if any(told.number is signal.SIGKILL for told in life.told):
-                self._evidence.report(f"{life.name} outlasted the grace of its stop")
+        for process_run in process_runs:
+            if any(told.number is signal.SIGKILL for told in process_run.told):
+                self._evidence.report(
+                    f"{process_run.name} outlasted the grace of its stop"
+                )
         await self._world.wait_configured()
 
     async def _occupy_address(self, duration: float) -> None:
--- a/soak/words.py
+++ b/soak/words.py
@@ -39,7 +39,7 @@
     backoff: float | None = None
 
 
-class WordSaboteur(FaultSeries):
+class DirectiveFaultInjector(FaultSeries):
     """Lets endpoints announce directives, and restores the store from older copies."""
 
     min_pause = 0.5
--- a/soak/world.py
+++ b/soak/world.py
@@ -165,7 +165,7 @@
         for host in waiting:
             self.evidence.report(
                 f"{host.name} has no configuration {START_SECONDS:.0f} s after the"
-                f" start: {host.life.last_line() or 'no line'}"
+                f" start: {host.process_run.last_line() or 'no line'}"
             )
         return not waiting
 
@@ -173,10 +173,10 @@
         """Restart hosts that exited by themselves, as the platform does."""
         while True:
             for host in self.hosts_by_name.values():
-                life = host.life
-                if not life.is_over or life.was_sent_ending_signal:
+                process_run = host.process_run
+                if not process_run.is_over or process_run.was_sent_ending_signal:
                     continue
-                if now() > life.ended_at + RESTART_DELAY_SECONDS:
+                if now() > process_run.ended_at + RESTART_DELAY_SECONDS:
                     self.start_host(host)
             await asyncio.sleep(HOST_POLL_SECONDS)
 
@@ -184,9 +184,11 @@
         """Kill all host processes and stop the endpoints, links and the store."""
         for host in self.hosts_by_name.values():
             if host.is_up:
-                host.life.popen.send_signal(signal.SIGCONT)
-                host.life.kill()
-            self.evidence.exits += [life.exit_record() for life in host.lives]
+                host.process_run.popen.send_signal(signal.SIGCONT)
+                host.process_run.kill()
+            self.evidence.exits += [
+                process_run.exit_record() for process_run in host.process_runs
+            ]
             host.store_link.stop()
             host.spare_link.stop()
         for place in self.places:
--- a/standins/rollout_fleet.py
+++ b/standins/rollout_fleet.py
@@ -15,7 +15,7 @@
 from passtally.messages import MemberRow, Message, RolloutNews
 from passtally.object_store import ConflictError, UnavailableError
 from passtally.objects import Endpoint, Service, ServiceKind
-from passtally.peers import Answerer, PeerError
+from passtally.peers import PeerError, RequestHandler
 from passtally.rollout import RecordedState, RolloutOrder, RolloutRecord
 from passtally.rollouts import Rollouts
 from passtally.roster import choose_links
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class RolloutPlay:
+class RolloutScenario:
     """The parameters of a simulated roll-out.
 
     Attributes:
@@ -69,14 +69,14 @@
         per_second: The number of requests per second.
         within: The order's time, in seconds.
         version: The behaviour of the new version.
-        usual_failing: The fraction of answers that fail with either version.
-        kills: The number of hosts that crash and restart, one after the other.
-        cut_hosts: The fraction of hosts that are partitioned from all other hosts and
-            the store for three seconds.
+        baseline_failing: The fraction of answers that fail with either version.
+        host_crashes: The number of hosts that crash and restart, one after the other.
+        partitioned_hosts: The fraction of hosts that are partitioned from all other
+            hosts and the store for three seconds.
         store_down: The duration of a store outage in seconds, starting two seconds
             after the order.
-        grey: The number of faulty endpoints of the new version, which fail 40 % of
-            their requests.
+        faulty_endpoints: The number of faulty endpoints of the new version, which fail
+            40 % of their requests.
     """
 
     seed: int
@@ -85,11 +85,11 @@
     per_second: float = 60.0
     within: float = 12.0
     version: VersionBehaviour = VersionBehaviour()
-    usual_failing: float = 0.02
-    kills: int = 0
-    cut_hosts: float = 0.0
+    baseline_failing: float = 0.02
+    host_crashes: int = 0
+    partitioned_hosts: float = 0.0
     store_down: float = 0.0
-    grey: int = 0
+    faulty_endpoints: int = 0
 
 
 @attrs.define(kw_only=True)
@@ -101,7 +101,7 @@
         sent_new: The number of these that the new version got, including those after
             its acceptance.
         bad: The number of answers that the new version failed or delayed. Faults of
-            ``grey`` endpoints and of both versions are not included.
+            ``faulty_endpoints`` endpoints and of both versions are not included.
         after_limit: The number of requests that the new version got later than five
             seconds after its 50th bad answer.
         state: The last recorded state; None if nothing was recorded.
@@ -135,13 +135,13 @@
         self.is_up = True
         self.open_at_old = 0
         self._row = MemberRow(name, self.domain, life, 0, False, "x")
-        self._answerers: dict[type, Answerer] = {}
+        self._answerers: dict[type, RequestHandler] = {}
         self.rollouts = Rollouts(
             host_id=name,
             life=life,
             share=SHARE,
             slack=SLACK,
-            least_hosts=8,
+            min_hosts=8,
             catalog=model.catalog,
             loans=BudgetLoans(
                 peers=self, roster=self, rng=random.Random(model.rng.random())
@@ -153,7 +153,7 @@
             record=self.record,
             judge=model.judge,
         )
-        self.rollouts.use(self)
+        self.rollouts.set_fleet(self)
         self.task = asyncio.create_task(self.rollouts.run())
 
     # The interface of ``Fleet``, as used by roll-outs.
@@ -167,7 +167,7 @@
     # The interfaces of ``Peers`` and ``Roster``, as used by roll-outs.
 
     @property
-    def peak(self) -> int:
+    def peak_hosts(self) -> int:
         return len(self.model.hosts)
 
     @property
@@ -198,7 +198,7 @@
     def neighbours(self) -> list[MemberRow]:
         return [row for row in self.linked() if row.failure_domain == self.domain]
 
-    def on(self, kind: type, answerer: Answerer) -> None:
+    def on(self, kind: type, answerer: RequestHandler) -> None:
         self._answerers[kind] = answerer
 
     async def ask(self, host_id: str, message: Message, *, timeout: timedelta):
@@ -221,7 +221,9 @@
 class RolloutModel:
     """Simulates one roll-out; run it on the event loop of ``run_virtually``."""
 
-    def __init__(self, play: RolloutPlay, *, judge: VersionJudge | None = None) -> None:
+    def __init__(
+        self, play: RolloutScenario, *, judge: VersionJudge | None = None
+    ) -> None:
         self.play = play
         self.judge = judge or VersionJudge()
         self.rng = random.Random(play.seed)
@@ -298,7 +300,7 @@
         object_version = record.object_version
         if host.is_up and object_version >= getattr(host, "version", 0):
             host.version = object_version
-            host.rollouts.take(record)
+            host.rollouts.apply_record(record)
 
     # Hosts and their faults.
 
@@ -324,9 +326,9 @@
         play = self.play
         if play.store_down:
             self._spawn(self._lose_store())
-        if play.cut_hosts:
+        if play.partitioned_hosts:
             self._spawn(self._partition())
-        for number in range(play.kills):
+        for number in range(play.host_crashes):
             await asyncio.sleep(self.rng.uniform(0.3, 1.2))
             name = self.rng.choice(list(self.hosts))
             host = self.hosts[name]
@@ -344,7 +346,7 @@
     async def _partition(self) -> None:
         await asyncio.sleep(self.rng.uniform(0, 4))
         names = sorted(self.hosts)
-        count = round(self.play.cut_hosts * len(names))
+        count = round(self.play.partitioned_hosts * len(names))
         self.partitioned = frozenset(self.rng.sample(names, count))
         await asyncio.sleep(3)
         self.partitioned = ()
@@ -364,7 +366,9 @@
                 )
             )
         if software == NEW:
-            self._faulty_ids = frozenset(self.rng.sample(names, self.play.grey))
+            self._faulty_ids = frozenset(
+                self.rng.sample(names, self.play.faulty_endpoints)
+            )
 
     async def _send_requests(self) -> None:
         while True:
@@ -385,7 +389,7 @@
         host.open_at_old += is_old
         await asyncio.sleep(took)
         host.open_at_old -= is_old
-        fails = is_bad or self.rng.random() < self.play.usual_failing
+        fails = is_bad or self.rng.random() < self.play.baseline_failing
         if host.is_up:
             host.rollouts.record_answer(
                 endpoint,
@@ -398,7 +402,7 @@
     def _choose(self, host: ModelHost) -> Endpoint | None:
         endpoints = self.catalog.endpoints_of(SERVICE)
         if host.rollouts.acquire_trial(SERVICE):
-            tried = [item for item in endpoints if host.rollouts.is_tried(item)]
+            tried = [item for item in endpoints if host.rollouts.accepts_trials(item)]
             return self.rng.choice(tried)
         allowed = [item for item in endpoints if host.rollouts.allows(item)]
         return self.rng.choice(allowed) if allowed else None
@@ -452,8 +456,8 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def play_rollout(
-    play: RolloutPlay, *, judge: VersionJudge | None = None
+def simulate_rollout(
+    play: RolloutScenario, *, judge: VersionJudge | None = None
 ) -> RolloutResult:
     """Run a simulated roll-out in virtual time and return its outcome."""
 
--- a/tests/host_process.py
+++ b/tests/host_process.py
@@ -104,7 +104,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Place:
+class HostFiles:
     """The files and addresses of one host.
 
     Attributes:
@@ -137,20 +137,20 @@
 
 
 @attrs.frozen(kw_only=True)
-class Running(Place):
+class Running(HostFiles):
     """A host's process with its files and addresses."""
 
     process: subprocess.Popen
 
 
 @contextlib.asynccontextmanager
-async def settled(folder: Path) -> AsyncIterator[Place]:
+async def settled(folder: Path) -> AsyncIterator[HostFiles]:
     """Write the settings of a host beside a store that has a configuration."""
     store = ObjectStoreStandIn()
     store.put("config", "main", make_config())
     port = await store.start()
     front, ready, control = free_ports(3)
-    place = Place(
+    place = HostFiles(
         path=folder / "node.conf",
         log=folder / "log",
         front=front,
@@ -180,7 +180,7 @@
 
 @contextlib.asynccontextmanager
 async def started(
-    place: Place, *, prepare: Callable[[], None] | None = None
+    place: HostFiles, *, prepare: Callable[[], None] | None = None
 ) -> AsyncIterator[Running]:
     """Start a host's process and kill it at the end if it still runs."""
     process = start(place.path, place.log, prepare=prepare)
@@ -193,7 +193,7 @@
         process.stderr.close()
 
 
-async def is_ready(host: Place) -> bool:
+async def is_ready(host: HostFiles) -> bool:
     """Return the result of one readiness check, as the balancer makes it."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", host.ready)
@@ -205,7 +205,7 @@
     return b" 200 " in line
 
 
-async def wait_ready(host: Place) -> None:
+async def wait_ready(host: HostFiles) -> None:
     """Wait until the balancer would send callers to a host."""
     until = time.monotonic() + 20
     while not await is_ready(host):
--- a/tests/rated_network.py
+++ b/tests/rated_network.py
@@ -167,7 +167,7 @@
                     remote[row.failure_domain] = row
         return [*self.neighbours(), *remote.values()]
 
-    def far_ids(self) -> list[str]:
+    def remote_ids(self) -> list[str]:
         own = self.failure_domain
         return [row.host_id for row in self.linked() if row.failure_domain != own]
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -31,7 +31,7 @@
 NOW = timedelta(0)
 
 
-def ask_for(workspace="w", name="interactive", share=1, timeout=None):
+def make_request(workspace="w", name="interactive", share=1, timeout=None):
     return AdmissionRequest(
         id="r",
         workspace=workspace,
@@ -47,22 +47,22 @@
 
 class TestAdmissionQueue:
     def test_free_capacity_admits_at_once(self):
-        decision, waiting = make_queue().submit(ask_for(), load=0.5, now=NOW)
+        decision, waiting = make_queue().submit(make_request(), load=0.5, now=NOW)
         assert (decision.verdict, waiting) == (Verdict.ADMIT, None)
 
     def test_jobs_wait_while_lookups_are_still_admitted(self):
         queue = make_queue()
-        job, _ = queue.submit(ask_for(name="job"), load=0.75, now=NOW)
-        lookup, _ = queue.submit(ask_for(name="lookup"), load=0.75, now=NOW)
+        job, _ = queue.submit(make_request(name="job"), load=0.75, now=NOW)
+        lookup, _ = queue.submit(make_request(name="lookup"), load=0.75, now=NOW)
         assert (job.verdict, lookup.verdict) == (Verdict.QUEUE, Verdict.ADMIT)
 
     def test_a_workspace_above_its_share_leaves_the_last_capacity_to_others(self):
         queue = make_queue()
         for _ in range(20):
-            queue.submit(ask_for("large"), load=0.5, now=NOW)
-        queue.submit(ask_for("small"), load=0.5, now=NOW)
-        large, _ = queue.submit(ask_for("large"), load=0.9, now=NOW)
-        small, _ = queue.submit(ask_for("small"), load=0.9, now=NOW)
+            queue.submit(make_request("large"), load=0.5, now=NOW)
+        queue.submit(make_request("small"), load=0.5, now=NOW)
+        large, _ = queue.submit(make_request("large"), load=0.9, now=NOW)
+        small, _ = queue.submit(make_request("small"), load=0.9, now=NOW)
         assert (large.verdict, small.verdict) == (Verdict.QUEUE, Verdict.ADMIT)
 
     def test_classes_are_admitted_in_order_and_workspaces_take_turns(self):
@@ -74,7 +74,7 @@
             ("b", "interactive"),
             ("b", "lookup"),
         ):
-            queue.submit(ask_for(workspace, name), load=1, now=NOW)
+            queue.submit(make_request(workspace, name), load=1, now=NOW)
         order = [queue.next(load=0, now=NOW).request for _ in range(5)]
         assert [(r.workspace, r.request_class.name) for r in order] == [
             ("b", "LOOKUP"),
@@ -86,18 +86,18 @@
 
     def test_a_full_queue_refuses_with_a_retry_after(self):
         queue = make_queue(max_queue=1)
-        queue.submit(ask_for(), load=1, now=NOW)
-        decision, _ = queue.submit(ask_for(), load=1, now=NOW)
+        queue.submit(make_request(), load=1, now=NOW)
+        decision, _ = queue.submit(make_request(), load=1, now=NOW)
         assert decision.verdict is Verdict.REFUSE
         assert decision.retry_after >= timedelta(seconds=1)
 
     def test_a_request_that_can_not_start_in_time_is_refused_without_waiting(self):
         queue = make_queue()
         for _ in range(20):
-            queue.submit(ask_for(), load=1, now=NOW)
+            queue.submit(make_request(), load=1, now=NOW)
         for second in range(4):
             queue.next(load=0, now=timedelta(seconds=second))
-        hurried = ask_for(timeout=timedelta(seconds=2))
+        hurried = make_request(timeout=timedelta(seconds=2))
         decision, _ = queue.submit(hurried, load=1, now=timedelta(seconds=4))
         assert decision.verdict is Verdict.REFUSE
         assert "in time" in decision.reason
@@ -122,10 +122,10 @@
             now += timedelta(seconds=0.3)
             if action == "ask":
                 decision, place = queue.submit(
-                    ask_for(workspace, name), load=load, now=now
+                    make_request(workspace, name), load=load, now=now
                 )
                 if decision.verdict is Verdict.ADMIT:
-                    admitted.append(ask_for(workspace, name))
+                    admitted.append(make_request(workspace, name))
                 if place is not None:
                     waiting.append(place)
             elif action == "next":
@@ -164,7 +164,7 @@
     def test_a_waiting_request_is_admitted_once_capacity_is_free(self):
         async def work(gate, fleet):
             async def enter():
-                async with gate.enter("s", ask_for()):
+                async with gate.enter("s", make_request()):
                     return asyncio.get_running_loop().time()
 
             entered = asyncio.ensure_future(enter())
@@ -180,7 +180,7 @@
     def test_a_waiting_request_is_admitted_once_there_is_no_capacity_at_all(self):
         async def work(gate, fleet):
             async def enter():
-                async with gate.enter("s", ask_for()):
+                async with gate.enter("s", make_request()):
                     return asyncio.get_running_loop().time()
 
             entered = asyncio.ensure_future(enter())
@@ -194,7 +194,7 @@
     def test_a_request_that_waits_too_long_is_refused_as_not_run(self):
         async def work(gate, fleet):
             with pytest.raises(RefusedError) as caught:
-                async with gate.enter("s", ask_for(name="lookup")):
+                async with gate.enter("s", make_request(name="lookup")):
                     pass
             failure = caught.value.failure
             assert (failure.code, failure.outcome) == (
@@ -208,7 +208,7 @@
     def test_a_caller_that_disconnects_is_removed_from_the_queue(self):
         async def work(gate, fleet):
             async def enter():
-                async with gate.enter("s", ask_for()):
+                async with gate.enter("s", make_request()):
                     pass
 
             entered = asyncio.ensure_future(enter())
--- a/tests/test_callers_that_leave.py
+++ b/tests/test_callers_that_leave.py
@@ -28,7 +28,7 @@
 )
 
 
-class Leaver:
+class LeavingCaller:
     """A caller that sends one request, reads nothing, and leaves."""
 
     def __init__(self, host: FrontHost, path: str) -> None:
@@ -93,7 +93,9 @@
             await asyncio.sleep(0.002)
 
 
-async def check_work_ends(system: PlatformSystem, caller: Leaver, **how: bool) -> None:
+async def check_work_ends(
+    system: PlatformSystem, caller: LeavingCaller, **how: bool
+) -> None:
     """Let a caller leave, and check that its work ends and no other work starts."""
     host, runners = system.hosts[0], Runners(system)
     arrivals = runners.arrivals
@@ -134,7 +136,7 @@
             arrivals = runners.arrivals
             lost = []
             monkeypatch.setattr(host.front_server, "remove", lost.append)
-            Leaver(host, path).leave()
+            LeavingCaller(host, path).leave()
             time.sleep(LIMIT)
             await until(lambda: lost)
             # A request that was sent in error would arrive within a few milliseconds.
@@ -151,7 +153,7 @@
             await system.add_runner("i-look", LOOKUPS)
             system.store.refusal = 503
             host = await system.add_host()
-            caller = Leaver(host, "/look/1")
+            caller = LeavingCaller(host, "/look/1")
             await until(lambda: host.drain.open_requests)
             await check_work_ends(system, caller)
             system.store.refusal = None
@@ -166,7 +168,7 @@
             host = await start(system)
             full = Capacity(taken=100, places=100)
             monkeypatch.setattr(host.fleet, "service_capacity", lambda service: full)
-            caller = Leaver(host, path)
+            caller = LeavingCaller(host, path)
             await until(lambda: host.gate._futures)
             caller.leave()
             await until(lambda: not host.drain.open_requests)
@@ -185,7 +187,7 @@
             runners.set_faults(report_delay=0.09)
             survey = host.dispatcher._placement._survey
             monkeypatch.setattr(survey, "_is_needed", lambda: True)
-            caller = Leaver(host, "/draft/1")
+            caller = LeavingCaller(host, "/draft/1")
             await until(lambda: any(runner.reports for runner in runners.all))
             await check_work_ends(system, caller)
             assert sum(runner.reports for runner in runners.all) == 1
@@ -201,7 +203,7 @@
             host = await start(system)
             runners = Runners(system)
             runners.set_faults(**{fault: LONG})
-            caller = Leaver(host, "/draft/1")
+            caller = LeavingCaller(host, "/draft/1")
             await until(lambda: runners.working)
             await check_work_ends(system, caller)
 
@@ -212,7 +214,7 @@
     def test_the_endpoint_stops(self):
         async def test(system: PlatformSystem) -> None:
             host = await start(system)
-            caller = Leaver(host, "/draft/1")
+            caller = LeavingCaller(host, "/draft/1")
             await until(lambda: any(r.replicas for r in system.runners.values()))
             await check_work_ends(system, caller)
 
@@ -223,7 +225,7 @@
         async def test(system: PlatformSystem) -> None:
             host = await start(system, events=2000)
             Runners(system).set_faults(event_bytes=100_000)
-            caller = Leaver(host, "/draft/1")
+            caller = LeavingCaller(host, "/draft/1")
             await until(lambda: host.front_server._connections)
             (connection,) = host.front_server._connections
             await until(lambda: not connection._writable.is_set())
@@ -240,7 +242,7 @@
     def test_the_next_endpoint_stops(self):
         async def test(system: PlatformSystem) -> None:
             host = await start(system)
-            caller = Leaver(host, "/draft/1")
+            caller = LeavingCaller(host, "/draft/1")
             await until(lambda: any(r.replicas for r in system.runners.values()))
             first = running(system)
             Runners(system).set_faults(head_delay=LONG)
@@ -263,7 +265,7 @@
             budgets = host.dispatcher._budgets
             monkeypatch.setattr(budgets, "_extra", lambda: 0.0)
             monkeypatch.setattr(budgets, "_ask_others", lend_late)
-            caller = Leaver(host, "/draft/1")
+            caller = LeavingCaller(host, "/draft/1")
             await until(lambda: any(r.replicas for r in system.runners.values()))
             running(system).faults.break_after = 100
             await asked.wait()
@@ -276,12 +278,12 @@
             host = await start(system)
             budgets = host.dispatcher._budgets
             monkeypatch.setattr(budgets, "_extra", lambda: 0.0)
-            caller = Leaver(host, "/draft/1")
+            caller = LeavingCaller(host, "/draft/1")
             await until(lambda: any(r.replicas for r in system.runners.values()))
             first = running(system)
             first.faults.hang_after = 100
             live = host.fleet.find(first.name)
-            await until(lambda: any(guard.is_held for guard in live.guards))
+            await until(lambda: any(guard.is_kept_waiting for guard in live.guards))
             await check_work_ends(system, caller)
 
         run(test)
@@ -293,7 +295,7 @@
             host = await start(system)
             runners = Runners(system)
             runners.set_faults(answer_delay=LONG)
-            caller = Leaver(host, "/look/1")
+            caller = LeavingCaller(host, "/look/1")
             await until(lambda: runners.working)
             await check_work_ends(system, caller)
 
@@ -315,7 +317,7 @@
             monkeypatch.setattr(budgets, "_extra", lambda: 0.0)
             monkeypatch.setattr(budgets, "_ask_others", lend_late)
             Runners(system).set_faults(lose_answers=1)
-            caller = Leaver(host, "/look/1")
+            caller = LeavingCaller(host, "/look/1")
             await asked.wait()
             await check_work_ends(system, caller)
             assert Runners(system).arrivals == 1
@@ -327,7 +329,7 @@
             host = await start(system)
             runners = Runners(system)
             runners.set_faults(lose_answers=1, answer_delay=0.05)
-            caller = Leaver(host, "/look/1")
+            caller = LeavingCaller(host, "/look/1")
             await until(lambda: runners.arrivals == 1)
             runners.set_faults(head_delay=LONG)
             await until(lambda: runners.working and runners.arrivals == 2)
--- a/tests/test_change_storms.py
+++ b/tests/test_change_storms.py
@@ -17,10 +17,10 @@
 from datetime import timedelta
 
 from passtally.front_host import (
-    GATHER_PART,
+    BATCH_SHARE,
     MAX_RETRY_DELAY,
     OUT_OF_DATE_AFTER,
-    WATCH_WAIT_PART,
+    WATCH_WAIT_SHARE,
 )
 from standins.virtual import run_virtually
 from tests.rated_fleet import Fleet, StoreLink, make_config
@@ -47,8 +47,8 @@
         hosts=hosts,
         bits_per_second=rate,
         domains=tuple(domains),
-        wait=timedelta(seconds=WATCH_WAIT_PART * APPLY_WITHIN),
-        pause=timedelta(seconds=GATHER_PART * APPLY_WITHIN),
+        wait=timedelta(seconds=WATCH_WAIT_SHARE * APPLY_WITHIN),
+        pause=timedelta(seconds=BATCH_SHARE * APPLY_WITHIN),
         max_retry_delay=MAX_RETRY_DELAY,
         out_of_date_after=OUT_OF_DATE_AFTER,
     )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -19,7 +19,7 @@
 from tests.conftest import EXPECTED, HOSTS, PROMPT, At, System
 
 
-def operate(system: System, host: str, *words: str, exit_code: int = 0):
+def run_operator_command(system: System, host: str, *words: str, exit_code: int = 0):
     """Run an operators' command against a host; return its JSON."""
     environment = {
         "PASSTALLY_HOSTS": system.url(host),
@@ -38,12 +38,12 @@
 
 
 def status(system: System, host: str) -> dict:
-    return operate(system, host, "status")
+    return run_operator_command(system, host, "status")
 
 
 class TestIntents:
     def test_a_version_is_loaded_through_a_confirmed_intent(self, system: System):
-        plan = operate(
+        plan = run_operator_command(
             system,
             "entry-a",
             "intent",
@@ -53,10 +53,12 @@
             "version=2",
         )
         assert plan["state"] == "planned"
-        operate(system, "entry-b", "intent", "confirm", plan["id"])
+        run_operator_command(system, "entry-b", "intent", "confirm", plan["id"])
         wait_until(
             lambda: (
-                operate(system, "entry-c", "intent", "show", plan["id"])["state"]
+                run_operator_command(system, "entry-c", "intent", "show", plan["id"])[
+                    "state"
+                ]
                 == "done"
             )
         )
@@ -72,8 +74,8 @@
             busy = system.busy_engine()
             drained.append(busy)
             words = ("intent", "declare", "drain", f"endpoints={busy.name}")
-            plan = operate(system, "entry-b", *words)
-            operate(system, "entry-b", "intent", "confirm", plan["id"])
+            plan = run_operator_command(system, "entry-b", *words)
+            run_operator_command(system, "entry-b", "intent", "confirm", plan["id"])
 
         answer = system.chat("entry-a", on_event=At(50, drain))
         assert answer.text == EXPECTED
@@ -87,7 +89,7 @@
     def test_a_refused_plan_states_the_reason(self, system: System):
         names = ",".join(engine.name for engine in system.engines)
         words = ("intent", "declare", "drain", f"endpoints={names}")
-        answer = operate(system, "entry-a", *words, exit_code=1)
+        answer = run_operator_command(system, "entry-a", *words, exit_code=1)
         assert answer["error"]["code"] == "plan_refused"
         assert "capacity for 0 requests" in answer["error"]["message"]
 
@@ -97,7 +99,9 @@
         value = json.dumps(
             {"id": "w2", "token_sha256": "0" * 64, "services": ["drafting"]}
         )
-        answer = operate(system, "entry-a", "workspace", "put", "w2", value)
+        answer = run_operator_command(
+            system, "entry-a", "workspace", "put", "w2", value
+        )
         version = answer["version"]
         started = time.monotonic()
         wait_until(
@@ -110,7 +114,9 @@
 
     def test_all_problems_of_an_object_are_reported_at_once(self, system: System):
         bad = json.dumps({"id": "x", "service": "", "url": "u", "failure_domain": ""})
-        answer = operate(system, "entry-a", "endpoint", "put", "y", bad, exit_code=1)
+        answer = run_operator_command(
+            system, "entry-a", "endpoint", "put", "y", bad, exit_code=1
+        )
         message = answer["error"]["message"]
         for name in ("id", "url", "service", "failure_domain"):
             assert f"{name}:" in message
@@ -118,13 +124,15 @@
     def test_a_write_over_another_version_is_refused(self, system: System):
         value = json.dumps({"id": "w2", "token_sha256": "0" * 64})
         words = ("workspace", "put", "w2", value, "--version", "3")
-        answer = operate(system, "entry-a", *words, exit_code=1)
+        answer = run_operator_command(system, "entry-a", *words, exit_code=1)
         assert answer["error"]["code"] == "version_conflict"
 
     def test_an_answer_lost_after_the_write_is_accepted(self, system: System):
         system.processes.platform.control(lose_answers=1)
         value = json.dumps({"id": "w3", "token_sha256": "1" * 64})
-        answer = operate(system, "entry-a", "workspace", "put", "w3", value)
+        answer = run_operator_command(
+            system, "entry-a", "workspace", "put", "w3", value
+        )
         assert answer["accepted"]
 
 
@@ -137,7 +145,7 @@
         assert system.chat("entry-a").text == EXPECTED
         value = json.dumps({"id": "w4", "token_sha256": "1" * 64})
         words = ("workspace", "put", "w4", value)
-        answer = operate(system, "entry-a", *words, exit_code=1)
+        answer = run_operator_command(system, "entry-a", *words, exit_code=1)
         assert answer["error"]["code"] == "platform_away"
         system["entry-c"].kill()
         system.processes.start_one_of_hosts("entry-c")
@@ -162,7 +170,9 @@
         system.processes.platform.control(forget_changes=True)
         system.processes.platform.control()
         value = json.dumps({"id": "w5", "token_sha256": "2" * 64})
-        answer = operate(system, "entry-a", "workspace", "put", "w5", value)
+        answer = run_operator_command(
+            system, "entry-a", "workspace", "put", "w5", value
+        )
         wait_until(
             lambda: status(system, "entry-c")["config_version"] >= answer["version"]
         )
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -123,7 +123,7 @@
             assert len(crashing.crashed) <= MAX_CRASHED
             assert statuses.count(200) >= 58, "it may be at an endpoint's last place"
             for host in crashing.system.hosts:
-                quarantined = host.guard.held()
+                quarantined = host.guard.list_quarantined()
                 assert len(quarantined) == 1
 
         run_crashing(test, service=service)
@@ -151,7 +151,7 @@
             is_over = True
             await asyncio.gather(*senders)
             for host in crashing.system.hosts:
-                assert host.guard.held() == []
+                assert host.guard.list_quarantined() == []
 
         run_crashing(test, service=ENGINE)
 
--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -8,7 +8,7 @@
 
 from standins.processes import Process, Processes, free_port
 from tests.conftest import EXPECTED, System
-from tests.test_control import operate, status, wait_until
+from tests.test_control import run_operator_command, status, wait_until
 from tests.test_plain import book, runs
 
 
@@ -90,7 +90,9 @@
         assert refused.error["outcome"] == "not_run"
         assert book(cut_system, "entry-b", "s1", key="k1").status == 200
         value = '{"id": "w2", "token_sha256": "%s"}' % ("0" * 64)
-        answer = operate(cut_system, "entry-b", "workspace", "put", "w2", value)
+        answer = run_operator_command(
+            cut_system, "entry-b", "workspace", "put", "w2", value
+        )
         assert status(cut_system, "entry-a")["config_version"] < answer["version"]
         wait_until(
             lambda: not status(cut_system, "entry-b")["peers"][0]["alive"], seconds=60
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -282,7 +282,7 @@
 
             with pytest.raises(RefusedError) as caught:
                 await bench.dispatcher.run(
-                    generation, ListSink(), held_by="r1", recover=recover
+                    generation, ListSink(), stream_endpoint_id="r1", recover=recover
                 )
             bench.watch.cancel()
             return caught.value.failure
--- a/tests/test_domain_return.py
+++ b/tests/test_domain_return.py
@@ -45,7 +45,7 @@
 
     def set_links_cut(self, is_cut: bool) -> None:
         for store in self.stores:
-            store.is_shut = is_cut
+            store.is_unavailable = is_cut
 
     def _follow(self, host_id: str, share: SharedWatch, view: View) -> Follower:
         return Follower(
--- a/tests/test_end_lines.py
+++ b/tests/test_end_lines.py
@@ -10,7 +10,7 @@
 from passtally.front import Front
 from standins.platform_config import LOOKUPS, make_config
 from tests.platform_system import PlatformSystem, run
-from tests.test_callers_that_leave import Leaver, until
+from tests.test_callers_that_leave import LeavingCaller, until
 
 LONG = 60.0
 
@@ -89,7 +89,7 @@
             await start(system)
             for runner in system.runners.values():
                 runner.faults.head_delay = LONG
-            caller = Leaver(system.hosts[0], path)
+            caller = LeavingCaller(system.hosts[0], path)
             await until(lambda: any(r.working for r in system.runners.values()))
             caller.leave()
             await until(lambda: ends)
@@ -108,7 +108,7 @@
             host = system.hosts.pop()
             for runner in system.runners.values():
                 runner.faults.answer_delay = runner.faults.first_delay = LONG
-            caller = Leaver(host, path)
+            caller = LeavingCaller(host, path)
             await until(lambda: any(r.working for r in system.runners.values()))
             await host.leave()
             await host.stop()
@@ -122,7 +122,7 @@
             await start(system)
             host = system.hosts.pop()
             system.runners["i-look"].faults.answer_delay = LONG
-            caller = Leaver(host, "/look/1")
+            caller = LeavingCaller(host, "/look/1")
             await until(lambda: system.runners["i-look"].working)
             await host.stop()
             caller.leave()
--- a/tests/test_endpoint_backoff.py
+++ b/tests/test_endpoint_backoff.py
@@ -89,26 +89,26 @@
 class TestEndpointBackoffs:
     def test_no_request_is_sent_before_the_end(self):
         backoffs = backed_off()
-        assert not backoffs.take(START, now=NOW)
+        assert not backoffs.acquire(START, now=NOW)
         assert not backoffs.is_over(START, now=NOW + 2.9 * SECOND)
         assert backoffs.wait(START, now=NOW + SECOND) == 2 * SECOND
-        assert backoffs.take(START, now=NOW + 3 * SECOND)
+        assert backoffs.acquire(START, now=NOW + 3 * SECOND)
 
     # Guards against all waiting requests arriving at once when a back-off ends.
     def test_a_single_probe_is_sent_first(self):
         backoffs = backed_off()
         end = NOW + 3 * SECOND
-        assert backoffs.take(START, now=end)
-        assert not backoffs.take(START, now=end)
+        assert backoffs.acquire(START, now=end)
+        assert not backoffs.acquire(START, now=end)
         backoffs.record_answer(START, None, sent_at=end, now=end)
-        assert all(backoffs.take(START, now=end) for _ in range(9))
+        assert all(backoffs.acquire(START, now=end) for _ in range(9))
 
     def test_another_probe_is_sent_if_the_first_gets_no_answer(self):
         backoffs = backed_off()
         end = NOW + 3 * SECOND
-        assert backoffs.take(START, now=end)
+        assert backoffs.acquire(START, now=end)
         assert backoffs.wait(START, now=end) == PROBE_WINDOW
-        assert backoffs.take(START, now=end + PROBE_WINDOW)
+        assert backoffs.acquire(START, now=end + PROBE_WINDOW)
 
     def test_an_answer_to_a_request_in_flight_does_not_end_the_backoff(self):
         backoffs = backed_off()
@@ -123,10 +123,10 @@
         assert backoffs.wait(START, now=NOW + SECOND) == 3 * SECOND
 
     def test_zero_is_no_backoff(self):
-        assert backed_off(timedelta(0)).take(START, now=NOW)
+        assert backed_off(timedelta(0)).acquire(START, now=NOW)
 
     def test_a_backoff_applies_to_one_start_and_is_removed_with_the_endpoint(self):
         backoffs = backed_off()
-        assert backoffs.take(EndpointStart(endpoint_id="e", incarnation=2), now=NOW)
+        assert backoffs.acquire(EndpointStart(endpoint_id="e", incarnation=2), now=NOW)
         backoffs.forget("e")
-        assert backoffs.take(START, now=NOW)
+        assert backoffs.acquire(START, now=NOW)
--- a/tests/test_endpoint_directives.py
+++ b/tests/test_endpoint_directives.py
@@ -51,7 +51,7 @@
     # Guards against a header that the platform documents and that no code reads.
     @pytest.mark.parametrize("name", sorted(DOCUMENTED_HEADERS))
     def test_each_documented_header_is_known_and_read(self, name):
-        assert name in names.SAID_BY_ENDPOINTS
+        assert name in names.ENDPOINT_HEADERS
         constant = next(key for key, value in vars(names).items() if value == name)
         sources = Path(names.__file__).parent.glob("*.py")
         readers = [
@@ -64,7 +64,7 @@
     def test_an_unknown_header_is_reported(self):
         head = head_of(Server_Mood="good", X_Request_Id="q", Date="today")
         directives = read_directives(head, endpoint_id="e", request_id=b"q")
-        assert directives.unread == ("server-mood",)
+        assert directives.unknown_headers == ("server-mood",)
 
 
 class TestReadDirectives:
@@ -80,10 +80,10 @@
             (Directive.LEAVING, "Server_Leaving", "0"),
             (Directive.LEAVING, "Server_Leaving", ""),
             (Directive.LEAVING, "Server_Leaving", "soon"),
-            (Directive.REST, "Retry_After", "-1"),
-            (Directive.REST, "Retry_After", "soon"),
-            (Directive.REST, "Retry_After", "inf"),
-            (Directive.REST, "Retry_After", "Thu, 03 Dec 2026 12:00:00 GMT"),
+            (Directive.RETRY_AFTER, "Retry_After", "-1"),
+            (Directive.RETRY_AFTER, "Retry_After", "soon"),
+            (Directive.RETRY_AFTER, "Retry_After", "inf"),
+            (Directive.RETRY_AFTER, "Retry_After", "Thu, 03 Dec 2026 12:00:00 GMT"),
         ],
     )
     def test_an_invalid_directive_is_reported_and_ignored(self, word, header, told):
@@ -99,7 +99,7 @@
         directives = read_directives(
             head_of(status=503, Retry_After=told), endpoint_id="e"
         )
-        assert directives == EndpointDirectives(rest=timedelta(seconds=seconds))
+        assert directives == EndpointDirectives(backoff=timedelta(seconds=seconds))
 
     def test_a_backoff_is_read_only_with_status_503(self):
         directives = read_directives(
@@ -135,14 +135,14 @@
     def test_repeated_invalid_directives_are_logged_once(self, lines: list[str]):
         invalid_log = InvalidDirectiveLog()
         for _ in range(3):
-            invalid_log.note("e", invalid_limit("many"))
-        invalid_log.note("e", invalid_limit("more"))
+            invalid_log.record("e", invalid_limit("many"))
+        invalid_log.record("e", invalid_limit("more"))
         assert lines == ["e", "e"]
 
     def test_the_number_of_remembered_endpoints_is_bounded(self, lines: list[str]):
         invalid_log = InvalidDirectiveLog()
         for number in range(3 * MAX_LOGGED):
-            invalid_log.note(f"e{number}", invalid_limit("many"))
+            invalid_log.record(f"e{number}", invalid_limit("many"))
         assert len(invalid_log._invalid_by_endpoint) <= MAX_LOGGED
 
     def test_an_invalid_limit_leaves_the_known_limit_unchanged(self, lines: list[str]):
--- a/tests/test_endpoint_registry.py
+++ b/tests/test_endpoint_registry.py
@@ -17,9 +17,9 @@
         self.catalog = Catalog()
         self.catalog.put_service(Service(id="s", kind=ServiceKind.MODEL))
         self.clock = ManualClock()
-        self.gone: list[str] = []
+        self.on_removed: list[str] = []
         self.registry = EndpointRegistry(
-            catalog=self.catalog, clock=self.clock, gone=self.gone.append
+            catalog=self.catalog, clock=self.clock, on_removed=self.on_removed.append
         )
 
     def put(self, name: str, *, port: int = 1, **fields) -> None:
@@ -52,7 +52,7 @@
     ):
         harness.registry.remove(["a"])
         assert harness.ids == {"b"}
-        assert harness.gone == ["a"]
+        assert harness.on_removed == ["a"]
 
     def test_an_endpoint_whose_entry_lapsed_in_an_outage_is_kept(self, harness):
         harness.registry.record_reachability(False)
@@ -94,14 +94,14 @@
 
     def test_the_removal_of_an_unknown_entry_is_ignored(self, harness):
         harness.registry.remove(["z"])
-        assert harness.gone == []
+        assert harness.on_removed == []
 
 
 class TestAddresses:
     def test_a_new_endpoint_replaces_the_one_that_had_its_address(self, harness):
         harness.put("c", port=1)
         assert harness.ids == {"b", "c"}
-        assert harness.gone == ["a"]
+        assert harness.on_removed == ["a"]
 
 
 class TestOlderCopy:
--- a/tests/test_endpoint_starts.py
+++ b/tests/test_endpoint_starts.py
@@ -21,7 +21,7 @@
 from passtally.load_exchange import LoadTable
 from passtally.messages import HostNews, TokenLoad
 from passtally.objects import (
-    UNTOLD_START,
+    UNKNOWN_INCARNATION,
     Endpoint,
     EndpointStart,
     EndpointState,
@@ -55,16 +55,16 @@
             connect=lambda endpoint: None,
             departures=Departures(),
         )
-        self.came: list[EndpointStart] = []
+        self.on_started: list[EndpointStart] = []
         self.registry = EndpointRegistry(
             catalog=self.catalog,
             clock=self.clock,
-            gone=self.fleet.forget,
-            came=self._record_start,
+            on_removed=self.fleet.remove,
+            on_started=self._record_start,
         )
 
     def _record_start(self, endpoint: Endpoint) -> None:
-        self.came.append(endpoint.start)
+        self.on_started.append(endpoint.start)
         self.fleet.record_start(endpoint)
 
     def put(self, incarnation: int, **fields) -> None:
@@ -87,21 +87,21 @@
             (BORN, BORN + 1, True),
             (BORN, BORN, False),
             (BORN + 1, BORN, False),
-            (UNTOLD_START, BORN, False),
-            (BORN, UNTOLD_START, False),
+            (UNKNOWN_INCARNATION, BORN, False),
+            (BORN, UNKNOWN_INCARNATION, False),
         ],
     )
     def test_a_start_follows_another_only_if_both_are_known(
         self, before, after, is_next
     ):
-        assert start_of(before).is_followed_by(start_of(after)) is is_next
+        assert start_of(before).precedes(start_of(after)) is is_next
 
     def test_the_start_time_is_read_from_the_entry(self):
         spec = SPEC % b',"born":%d' % BORN
         assert decode_endpoint("a", spec).start == start_of(BORN)
 
     def test_an_entry_without_a_start_time_is_accepted(self):
-        assert decode_endpoint("a", SPEC % b"").incarnation == UNTOLD_START
+        assert decode_endpoint("a", SPEC % b"").incarnation == UNKNOWN_INCARNATION
 
 
 class TestStateAfterRestart:
@@ -144,12 +144,12 @@
         registered.live.eject(registered.clock.monotonic())
         registered.put(BORN, max_streams=3)
         assert registered.live.is_ejected
-        assert registered.came == [start_of(BORN)]
+        assert registered.on_started == [start_of(BORN)]
 
     def test_an_entry_without_a_start_belongs_to_the_known_start(self):
         registered = Registered()
         registered.put(BORN)
-        registered.put(UNTOLD_START, max_streams=3)
+        registered.put(UNKNOWN_INCARNATION, max_streams=3)
         assert registered.catalog.endpoints_by_id["a"].incarnation == BORN
         assert registered.catalog.endpoints_by_id["a"].max_streams == 3
 
@@ -186,7 +186,7 @@
 
     def test_a_loss_reported_without_a_start_counts(self):
         news = HostNews(host_id="h", loads_by_endpoint={}, lost=["a"])
-        assert news.lost_starts() == [start_of(UNTOLD_START)]
+        assert news.lost_starts() == [start_of(UNKNOWN_INCARNATION)]
         registered = Registered()
         registered.put(BORN)
         registered.fleet.record_peer_loss(news.lost_starts()[0])
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -22,7 +22,7 @@
     StepState,
 )
 from passtally.intents import Intents
-from passtally.lease import LEASE_LENGTH, Lease
+from passtally.lease import LEASE_DURATION, Lease
 from passtally.objects import (
     Endpoint,
     EndpointState,
@@ -243,7 +243,7 @@
             assert done.holder != first.holder
             assert done.fence > first.fence
             took = bench.clock.monotonic() - died_at
-            assert took < 3 * LEASE_LENGTH
+            assert took < 3 * LEASE_DURATION
 
         run_bench(work)
 
@@ -257,7 +257,7 @@
             former_lease = bench.hosts[bench.read(declared.id).holder].lease
             old_fence = former_lease.fence
             former_lease._held_until = None
-            former_lease.try_hold = lambda: asyncio.sleep(0, result=False)
+            former_lease.try_acquire = lambda: asyncio.sleep(0, result=False)
             bench.orders.unreachable_ids.clear()
             await bench.wait_for(declared.id)
             assert all(fence > old_fence for _, _, fence in bench.orders.received)
@@ -384,7 +384,7 @@
             await intents.confirm(declared.id)
             await bench.wait_until(lambda: bench.orders.roles["r1"] == "embed")
             if not checks_fencing:
-                await asyncio.sleep(LEASE_LENGTH.total_seconds() / 2)
+                await asyncio.sleep(LEASE_DURATION.total_seconds() / 2)
                 bench.orders.roles["r1"] = "old"
             done = await bench.wait_for(declared.id)
             ended.append((done.state, bench.orders.roles["r1"]))
@@ -473,14 +473,14 @@
             other = bench.hosts["b"].lease
             for host in bench.hosts.values():
                 host.die()
-            assert await holder.try_hold()
-            assert not await other.try_hold()
-            await asyncio.sleep(LEASE_LENGTH.total_seconds() / 2)
-            assert await holder.try_hold()
-            await asyncio.sleep(LEASE_LENGTH.total_seconds() * 0.7)
-            assert not await other.try_hold()
-            await asyncio.sleep((LEASE_LENGTH + timedelta(1e-3)).total_seconds())
-            assert await other.try_hold()
+            assert await holder.try_acquire()
+            assert not await other.try_acquire()
+            await asyncio.sleep(LEASE_DURATION.total_seconds() / 2)
+            assert await holder.try_acquire()
+            await asyncio.sleep(LEASE_DURATION.total_seconds() * 0.7)
+            assert not await other.try_acquire()
+            await asyncio.sleep((LEASE_DURATION + timedelta(1e-3)).total_seconds())
+            assert await other.try_acquire()
             assert other.fence > holder.fence
             assert not holder.is_held
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -65,7 +65,8 @@
 
     def test_the_limit_of_the_first_output_depends_on_the_prefill_ahead(self):
         guard = StreamGuard(
-            quiet_since=timedelta(0), first_limit=lambda tokens: tokens * self.SECOND
+            quiet_since=timedelta(0),
+            first_output_limit=lambda tokens: tokens * self.SECOND,
         )
         guard.max_prefill_tokens = 7
         assert guard.stuck_after(self.SECOND) == 7 * self.SECOND
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -5,7 +5,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from passtally.forecast import FIRST_OUTPUT_SLACK, MIN_SAMPLES, START_LASTS, Forecast
+from passtally.forecast import (
+    DEFAULT_DURATION,
+    FIRST_OUTPUT_SLACK,
+    MIN_SAMPLES,
+    Forecast,
+)
 
 SERVICE = "s"
 SECOND = timedelta(seconds=1)
@@ -77,20 +82,22 @@
 
     def test_the_first_output_limit_grows_with_the_tokens_in_prefill(self):
         forecast = make_forecast()
-        short = forecast.first_limit(SERVICE, 5_000)
+        short = forecast.first_output_limit(SERVICE, 5_000)
         assert short == timedelta(seconds=2) + FIRST_OUTPUT_SLACK
-        assert forecast.first_limit(SERVICE, 10_000) == short + timedelta(seconds=2)
-        assert forecast.first_limit(SERVICE, 0) is None
+        assert forecast.first_output_limit(SERVICE, 10_000) == short + timedelta(
+            seconds=2
+        )
+        assert forecast.first_output_limit(SERVICE, 0) is None
 
     def test_the_first_output_limit_adapts_to_slow_prefill(self):
         forecast = Forecast()
         for _ in range(MIN_SAMPLES):
             forecast.record_first(SERVICE, 5_000, 4 * SECOND)
-        limit = forecast.first_limit(SERVICE, 5_000)
+        limit = forecast.first_output_limit(SERVICE, 5_000)
         assert limit == timedelta(seconds=8) + FIRST_OUTPUT_SLACK
-        assert limit > Forecast().first_limit(SERVICE, 5_000)
+        assert limit > Forecast().first_output_limit(SERVICE, 5_000)
 
     def test_the_typical_time_is_estimated_from_samples(self):
-        assert Forecast().typical_time(SERVICE, tokens=5_000) == START_LASTS
+        assert Forecast().typical_time(SERVICE, tokens=5_000) == DEFAULT_DURATION
         typical = make_forecast().typical_time(SERVICE, tokens=5_000)
         assert abs(typical - timedelta(seconds=2.01)) < timedelta(milliseconds=1)
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -101,7 +101,7 @@
 
 async def call(pool: ConnectionPool, peer: Peer, body: bytes = b"") -> bytes:
     """Make a call and release its connection to the pool."""
-    connection = await pool.take(peer.address)
+    connection = await pool.acquire(peer.address)
     head = await connection.send(b"POST", b"/a%2Fb", HEADERS, body)
     answer = await connection.read_all(1000)
     pool.release(peer.address, connection, head)
@@ -143,7 +143,7 @@
         peer = Peer(OK)
 
         async def test(pool: ConnectionPool) -> None:
-            connection = await pool.take(peer.address)
+            connection = await pool.acquire(peer.address)
             head = await connection.send(b"POST", b"/", HEADERS, b"")
             await connection.read_all(100)
             pool.release(peer.address, connection, head)
@@ -215,7 +215,7 @@
 
         async def test(pool: ConnectionPool) -> None:
             await call(pool, peer)
-            connection = await pool.take(peer.address, must_be_new=True)
+            connection = await pool.acquire(peer.address, must_be_new=True)
             connection.abort()
             assert pool.opened == 2
 
@@ -227,7 +227,7 @@
         async def main() -> None:
             pool = ConnectionPool(clock=SystemClock())
             with pytest.raises(ExchangeError) as caught:
-                await pool.take(Address(host="127.0.0.1", port=1))
+                await pool.acquire(Address(host="127.0.0.1", port=1))
             assert caught.value.step is ExchangeStep.CONNECT
 
         asyncio.run(main())
@@ -277,7 +277,7 @@
         peer = Peer(b"HTTP/1.1 200 OK\r\n\r\nok", stay=False)
 
         async def test(pool: ConnectionPool) -> None:
-            connection = await pool.take(peer.address)
+            connection = await pool.acquire(peer.address)
             head = await connection.send(b"GET", b"/", HEADERS, b"")
             assert not head.is_framed
             assert await connection.read_all(100) == b"ok"
--- a/tests/test_idle_connections_kept.py
+++ b/tests/test_idle_connections_kept.py
@@ -8,7 +8,7 @@
 from passtally.platform import runner_link
 from passtally.settings import Address, parse_address
 from tests.platform_system import PlatformSystem, run
-from tests.test_callers_that_leave import Leaver, Runners, start, until
+from tests.test_callers_that_leave import LeavingCaller, Runners, start, until
 
 #: Longer than any pause of this process between a call and its caller's disconnect.
 LONG = timedelta(hours=1)
@@ -44,7 +44,7 @@
             opened = record_opened(host)
             runners.set_faults(head_delay=5)
             arrivals = runners.arrivals
-            caller = Leaver(host, "/look/1")
+            caller = LeavingCaller(host, "/look/1")
             await until(lambda: runners.arrivals > arrivals)
             time.sleep(0.6)
             caller.leave()
--- a/tests/test_idle_hosts.py
+++ b/tests/test_idle_hosts.py
@@ -16,7 +16,7 @@
 from standins.virtual import VirtualClock, run_virtually
 from tests.fakes import make_catalog
 from tests.platform_system import free_ports
-from tests.test_admission import ask_for
+from tests.test_admission import make_request
 from tests.test_peers import answer, make_peers
 
 SECONDS = 10
@@ -80,7 +80,7 @@
             assert clock.sleeps == 0
 
             async def enter() -> None:
-                async with gate.enter("s", ask_for()):
+                async with gate.enter("s", make_request()):
                     pass
 
             entering = asyncio.create_task(enter())
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.far = ["far-1", "far-2"]
 
-    def far_ids(self) -> list[str]:
+    def remote_ids(self) -> list[str]:
         return self.far
 
 
--- a/tests/test_large_changes.py
+++ b/tests/test_large_changes.py
@@ -136,7 +136,7 @@
             learner = next(
                 share for share in fleet.shares_by_host.values() if not share.is_up
             )
-            assert not learner.behind_for("config/")
+            assert not learner.time_behind("config/")
             last = make_config(9)
             await fleet.platform.update(
                 "config/main", last, version=fleet.platform.version
@@ -144,9 +144,9 @@
             longest = timedelta(0)
             for _ in range(2000):
                 await asyncio.sleep(0.002)
-                longest = max(longest, learner.behind_for("config/"))
+                longest = max(longest, learner.time_behind("config/"))
             assert timedelta(0) < longest < timedelta(seconds=APPLY_WITHIN / 2)
-            assert not learner.behind_for("config/")
+            assert not learner.time_behind("config/")
 
         run_virtually(test())
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -14,7 +14,7 @@
 )
 
 from passtally.clock import ManualClock
-from passtally.lease import LEASE_LENGTH, Lease
+from passtally.lease import LEASE_DURATION, Lease
 from tests.fakes import FakePlatform
 
 HOSTS = ("a", "b", "c")
@@ -48,7 +48,7 @@
     def hold(self, host, faults):
         self.platform.faults.extend(faults)
         lease = self.leases[host]
-        if self.loop.run_until_complete(lease.try_hold()):
+        if self.loop.run_until_complete(lease.try_acquire()):
             self.fences.append((lease.fence, host))
         self.platform.faults.clear()
 
@@ -89,7 +89,7 @@
     async def _write(self, record):
         await super()._write(record)
         if self._held_until is not None:
-            self._held_until += 2 * LEASE_LENGTH
+            self._held_until += 2 * LEASE_DURATION
 
 
 class TestLease:
--- a/tests/test_load_exchange.py
+++ b/tests/test_load_exchange.py
@@ -14,7 +14,7 @@
     LoadExchange,
     LoadTable,
 )
-from passtally.member_table import SUSPECT_FOR, MemberTable
+from passtally.member_table import SUSPECT_TIMEOUT, MemberTable
 from passtally.messages import HostNews, MemberRow, TokenLoad
 from passtally.objects import EndpointStart
 from passtally.request_limits import RequestLimits
@@ -214,10 +214,10 @@
 
 
 def lose(table: MemberTable, clock: ManualClock, *host_ids: str) -> None:
-    """Suspect hosts for ``SUSPECT_FOR``, after which they count as dead."""
+    """Suspect hosts for ``SUSPECT_TIMEOUT``, after which they count as dead."""
     for host_id in host_ids:
         table.suspect(host_id, clock.monotonic())
-    clock.advance(SUSPECT_FOR)
+    clock.advance(SUSPECT_TIMEOUT)
     table.expire(clock.monotonic())
 
 
@@ -255,7 +255,7 @@
         roster.update_links()
         lose(table, clock, "h0", "h1", "h2", "h3")
         roster.update_links()
-        assert roster.peak == 5
+        assert roster.peak_hosts == 5
         assert roster.others() == []
 
 
--- a/tests/test_many_objects.py
+++ b/tests/test_many_objects.py
@@ -12,10 +12,10 @@
 from datetime import timedelta
 
 from passtally.front_host import (
-    GATHER_PART,
+    BATCH_SHARE,
     MAX_RETRY_DELAY,
     OUT_OF_DATE_AFTER,
-    WATCH_WAIT_PART,
+    WATCH_WAIT_SHARE,
 )
 from standins.virtual import run_virtually
 from tests.rated_fleet import Fleet
@@ -52,8 +52,8 @@
     fleet = Fleet(
         hosts=HOSTS,
         bits_per_second=RATE,
-        wait=timedelta(seconds=WATCH_WAIT_PART * APPLY_WITHIN),
-        pause=timedelta(seconds=GATHER_PART * APPLY_WITHIN),
+        wait=timedelta(seconds=WATCH_WAIT_SHARE * APPLY_WITHIN),
+        pause=timedelta(seconds=BATCH_SHARE * APPLY_WITHIN),
         max_retry_delay=MAX_RETRY_DELAY,
         out_of_date_after=OUT_OF_DATE_AFTER,
     )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,7 +12,7 @@
 from passtally.departures import Departures
 from passtally.member_table import (
     SENDS_PER_LOG,
-    SUSPECT_FOR,
+    SUSPECT_TIMEOUT,
     MemberState,
     MemberTable,
 )
@@ -56,20 +56,20 @@
         table.merge([row("a", 5), row("b", 5)], NOW)
         table.suspect("a", NOW)
         table.suspect("b", NOW)
-        table.expire(SUSPECT_FOR - SECOND)
+        table.expire(SUSPECT_TIMEOUT - SECOND)
         assert all(view.alive for view in table.views([], NOW))
-        table.merge([row("b", 6)], SUSPECT_FOR - SECOND)
-        table.expire(SUSPECT_FOR)
+        table.merge([row("b", 6)], SUSPECT_TIMEOUT - SECOND)
+        table.expire(SUSPECT_TIMEOUT)
         assert [view.alive for view in table.views([], NOW)] == [False, True]
 
     def test_only_a_newer_row_makes_a_host_alive_again(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row("a", 5)], NOW)
         table.suspect("a", NOW)
-        table.expire(SUSPECT_FOR)
-        table.merge([row("a", 5), row("a", 4)], SUSPECT_FOR)
+        table.expire(SUSPECT_TIMEOUT)
+        table.merge([row("a", 5), row("a", 4)], SUSPECT_TIMEOUT)
         assert not table.views([], NOW)[0].alive
-        table.merge([row("a", 6)], SUSPECT_FOR)
+        table.merge([row("a", 6)], SUSPECT_TIMEOUT)
         assert table.views([], NOW)[0].alive
 
     def test_an_unknown_host_is_not_alive(self):
@@ -88,7 +88,7 @@
         other.suspect("me", NOW)
         table.merge([other.find("me")], NOW)
         other.merge([table.own], SECOND)
-        other.expire(SUSPECT_FOR + SECOND)
+        other.expire(SUSPECT_TIMEOUT + SECOND)
         assert other.views([], NOW)[0].alive
 
     def test_a_renamed_host_is_dead_under_its_former_name(self):
@@ -121,15 +121,15 @@
         table.merge([row("a", 5)], NOW)
         table.merge([msgspec.structs.replace(row("a", 5), state=MemberState.DEAD)], NOW)
         assert table.views([], NOW)[0].alive
-        table.expire(SUSPECT_FOR)
+        table.expire(SUSPECT_TIMEOUT)
         assert not table.views([], NOW)[0].alive
 
     def test_dead_hosts_do_not_count_for_the_newest_configuration(self):
         table = MemberTable(own=row("me", 1))
         table.merge([row("dead", 1, version=9)], NOW)
         table.suspect("dead", NOW)
-        table.expire(SUSPECT_FOR)
-        table.merge([row("a", 1, version=7), row("b", 1, version=8)], SUSPECT_FOR)
+        table.expire(SUSPECT_TIMEOUT)
+        table.merge([row("a", 1, version=7), row("b", 1, version=8)], SUSPECT_TIMEOUT)
         assert table.newest_config() == ("b", 8)
 
     def test_newer_versions_of_the_same_counter_are_merged(self):
@@ -200,7 +200,7 @@
             sent = sum(node.links.bytes_sent for node in fleet.nodes) - sent
             assert sent / hosts / seconds < 2_000
             fleet.stop(fleet.rows[:1])
-            limit = SUSPECT_FOR.total_seconds() + 10
+            limit = SUSPECT_TIMEOUT.total_seconds() + 10
             await fleet.wait_until(lambda: fleet.all_know(hosts - 2), limit=limit)
             assert fleet.count_wrong() == 0
 
@@ -276,7 +276,7 @@
                 await asyncio.sleep(4)
                 assert fleet.count_wrong() == 0
             fleet.paused = set()
-            await asyncio.sleep(SUSPECT_FOR.total_seconds() + 2)
+            await asyncio.sleep(SUSPECT_TIMEOUT.total_seconds() + 2)
             assert fleet.count_wrong() == 0
             assert fleet.all_know(99)
 
@@ -292,7 +292,7 @@
             ended = [make_endpoint(id=f"e{number}") for number in range(16)]
             for number, endpoint in enumerate(ended):
                 node = fleet.nodes[number % 5]
-                node.departures.note(endpoint.start, channel="its address")
+                node.departures.record(endpoint.start, channel="its address")
 
             def all_informed() -> bool:
                 return all(
@@ -361,8 +361,8 @@
 
     def test_only_a_newer_incarnation_is_not_leaving(self):
         departures = Departures()
-        departures.note(make_endpoint(3).start, channel="test")
-        departures.note(make_endpoint(1).start, channel="late")
+        departures.record(make_endpoint(3).start, channel="test")
+        departures.record(make_endpoint(1).start, channel="late")
         live = [HostEntry(id="h1", failure_domain="p", state="live")]
         departures.merge_host_list(live, make_catalog([SERVICE], [make_endpoint(3)]))
         assert departures.is_leaving(make_endpoint(3))
@@ -374,7 +374,7 @@
         departures = Departures()
         for incarnation in incarnations:
             start = EndpointStart(endpoint_id="r", incarnation=incarnation)
-            departures.note(start, channel="test")
+            departures.record(start, channel="test")
         top = max(incarnations)
         assert departures.is_leaving(make_endpoint(top))
         assert not departures.is_leaving(make_endpoint(top + 1))
--- a/tests/test_own_pauses.py
+++ b/tests/test_own_pauses.py
@@ -21,7 +21,7 @@
 from passtally.clock import SystemClock
 from passtally.front_host import STOP_MARGIN
 from passtally.pause_aware_timeout import (
-    LAST_LOOK,
+    TIMEOUT_EXTENSION,
     PauseAwareTimeout,
     sleep_pause_aware,
 )
@@ -70,7 +70,7 @@
                 ):
                     loop.call_soon(time.sleep, 0.2)
                     await asyncio.sleep(3)
-            assert loop.time() - began < 0.2 + 20 * LAST_LOOK.total_seconds()
+            assert loop.time() - began < 0.2 + 20 * TIMEOUT_EXTENSION.total_seconds()
 
         run_in(new_loop, test)
 
@@ -103,7 +103,7 @@
             loop.call_soon(time.sleep, 0.2)
             began = loop.time()
             await sleep_pause_aware(timedelta(milliseconds=50), clock=SystemClock())
-            assert loop.time() - began >= 0.2 + LAST_LOOK.total_seconds()
+            assert loop.time() - began >= 0.2 + TIMEOUT_EXTENSION.total_seconds()
 
         run_in(new_loop, test)
 
--- a/tests/test_passing_states.py
+++ b/tests/test_passing_states.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from soak.starts import StartSaboteur
+from soak.starts import StartFaultInjector
 from standins.processes import Processes
 from tests.host_process import (
     connect,
@@ -277,12 +277,12 @@
             async with started_world(tmp_path) as world:
                 assert await world.wait_configured()
                 host = world.hosts_by_name["host-0"]
-                saboteur = StartSaboteur(
+                injector = StartFaultInjector(
                     world=world, evidence=world.evidence, rng=random.Random(1)
                 )
                 # A paused process behaves like one that hangs while stopping.
-                host.life.send(signal.SIGSTOP)
-                await saboteur.stop_in_quiet()
+                host.process_run.send(signal.SIGSTOP)
+                await injector.stop_in_quiet()
             return world.evidence.judge()
 
         assert any("host-0.1" in found for found in asyncio.run(main()))
--- a/tests/test_piled_changes.py
+++ b/tests/test_piled_changes.py
@@ -33,7 +33,7 @@
     """A platform behind one host's rated link, which carries one answer at a time."""
 
     def __init__(self, *, platform: FakePlatform, bits_per_second: float) -> None:
-        self.is_shut = False
+        self.is_unavailable = False
         self.down = Wire(bits_per_second=bits_per_second)
         self._platform = platform
 
@@ -45,7 +45,7 @@
         return await self._carry(changes)
 
     async def _carry(self, listing: Listing) -> Listing:
-        if self.is_shut:
+        if self.is_unavailable:
             raise UnavailableError("rejected", step="call", peer="store")
         await self.down.carry(sum(len(bytes(item.value)) for item in listing.objects))
         return listing
@@ -139,9 +139,9 @@
             await storm.start()
             changing = asyncio.create_task(storm.change_repeatedly(3 + OUTAGE_S + 6))
             await asyncio.sleep(3)
-            storm.store.is_shut = True
+            storm.store.is_unavailable = True
             await asyncio.sleep(OUTAGE_S)
-            storm.store.is_shut = False
+            storm.store.is_unavailable = False
             reopened_at = asyncio.get_running_loop().time()
             await changing
             await asyncio.sleep(20)
--- a/tests/test_platform_host.py
+++ b/tests/test_platform_host.py
@@ -6,7 +6,7 @@
 import attrs
 import pytest
 
-from passtally.forecast import START_LASTS
+from passtally.forecast import DEFAULT_DURATION
 from standins.platform_config import KEY, LOOKUPS, WORKSPACE, make_config
 from standins.runner import PROOF
 from tests.platform_system import PlatformSystem, expected_events, run
@@ -601,7 +601,7 @@
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             host = system.hosts[0]
-            host.drain.ends_at = host.clock.monotonic() + START_LASTS / 2
+            host.drain.ends_at = host.clock.monotonic() + DEFAULT_DURATION / 2
             answer = await system.stream()
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) < 0.1
@@ -655,7 +655,7 @@
         async def test(system: PlatformSystem) -> None:
             await start_engines(system)
             host = system.hosts[0]
-            host.drain.ends_at = host.clock.monotonic() + 2 * START_LASTS
+            host.drain.ends_at = host.clock.monotonic() + 2 * DEFAULT_DURATION
             answer = await system.stream()
             assert answer.body == expected_events(20)
 
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -134,7 +134,7 @@
         stream = routes.find_route("shop.example", "/draft/1")
         assert routes.version == 7
         assert stream.kind is CallKind.STREAM
-        assert stream.is_repeatable
+        assert stream.is_retryable
         assert stream.max_attempts == 5
         assert stream.service_for(b"x") == ENGINE
         assert routes.find_workspace(KEY).workspace == WORKSPACE
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -101,7 +101,7 @@
         )
         later = NOW + RETENTION_TIME + timedelta(seconds=1)
         assert quarantine.remaining(REQUEST, now=later) is None
-        assert quarantine.held(now=later) == []
+        assert quarantine.list_quarantined(now=later) == []
         crash(quarantine, 4, now=later)
         assert quarantine.remaining(REQUEST, now=later) is None
 
@@ -316,14 +316,14 @@
         for row in rows:
             roster = FixedRoster(own=row, rows=self.rows)
             linked_ids = [linked.host_id for linked in roster.linked()]
-            far_ids = roster.far_ids()
+            remote_ids = roster.remote_ids()
             guard = CrashGuard(quarantine=Quarantine(), clock=self.clock)
             self.guards[row.host_id] = guard
             exchange = QuarantineExchange(
                 guard=guard,
                 peers=self.network.add(row.host_id),
                 linked_ids=lambda ids=linked_ids: ids,
-                far_ids=lambda ids=far_ids: ids,
+                remote_ids=lambda ids=remote_ids: ids,
                 clock=self.clock,
                 rng=random.Random(row.host_id),
             )
@@ -429,7 +429,7 @@
             links = fleet.network.peers_by_id.values()
             assert max(peers.up.longest_backlog for peers in links) < 0.2, "seconds"
             assert not any(
-                guard.quarantine.held(now=fleet.clock.monotonic())
+                guard.quarantine.list_quarantined(now=fleet.clock.monotonic())
                 for guard in fleet.guards.values()
             )
 
--- a/tests/test_request_limits.py
+++ b/tests/test_request_limits.py
@@ -80,7 +80,7 @@
                 limits.record_answer(
                     START, limits.rows(now=now)[0].rate, sent_at=now, now=now
                 )
-            while limits.take(START, now=now):
+            while limits.acquire(START, now=now):
                 sent.append(number * STEP.total_seconds())
     return sent
 
@@ -135,16 +135,16 @@
 class TestAnswers:
     def test_without_a_limit_all_requests_are_accepted(self):
         limits = RequestLimits()
-        assert all(limits.take(START, now=NOW) for _ in range(100))
+        assert all(limits.acquire(START, now=NOW) for _ in range(100))
         assert limits.time_until_capacity(START, now=NOW) == timedelta(0)
 
     def test_the_first_answer_with_a_limit_leaves_no_credit(self):
         limits = limited(2.0)
-        assert not limits.take(START, now=NOW)
+        assert not limits.acquire(START, now=NOW)
         wait = limits.time_until_capacity(START, now=NOW)
         assert wait == timedelta(seconds=0.5)
-        assert limits.take(START, now=NOW + wait)
-        assert not limits.take(START, now=NOW + wait)
+        assert limits.acquire(START, now=NOW + wait)
+        assert not limits.acquire(START, now=NOW + wait)
 
     def test_a_later_answer_changes_or_lifts_the_limit(self):
         later = NOW + timedelta(seconds=1)
@@ -152,35 +152,35 @@
         assert limits.record_answer(START, 10.0, sent_at=NOW, now=NOW)
         assert limits.time_until_capacity(START, now=NOW) == timedelta(seconds=0.1)
         assert limits.record_answer(START, None, sent_at=later, now=later)
-        assert all(limits.take(START, now=later) for _ in range(100))
+        assert all(limits.acquire(START, now=later) for _ in range(100))
 
     def test_an_answer_to_an_earlier_request_does_not_lift_the_limit(self):
         limits = limited(2.0)
         later, before = NOW + timedelta(seconds=1), NOW - timedelta(seconds=1)
         assert not limits.record_answer(START, None, sent_at=before, now=later)
-        assert limits.take(START, now=later)
-        assert not limits.take(START, now=later)
+        assert limits.acquire(START, now=later)
+        assert not limits.acquire(START, now=later)
 
     def test_another_start_of_the_endpoint_has_no_limit(self):
         limits = limited(2.0)
         other = EndpointStart(endpoint_id="e", incarnation=2)
-        assert limits.take(other, now=NOW)
+        assert limits.acquire(other, now=NOW)
 
     def test_an_endpoint_with_limit_zero_is_probed(self):
         limits = limited(0.0)
         assert limits.time_until_capacity(START, now=NOW) == timedelta(seconds=10)
-        assert limits.take(START, now=NOW + timedelta(seconds=10))
+        assert limits.acquire(START, now=NOW + timedelta(seconds=10))
 
     def test_a_host_without_a_share_returns_when_other_hosts_may_send(self):
         limits = limited(2.0, hosts=7, rank=6)
         later = NOW + RETENTION_TIME
-        assert not limits.take(START, now=later)
+        assert not limits.acquire(START, now=later)
         assert limits.time_until_capacity(START, now=later) == timedelta(seconds=0.5)
 
     def test_a_limit_that_no_answer_repeats_expires(self):
         limits = limited(2.0, hosts=7, rank=6)
         later = NOW + RETENTION_TIME + timedelta(seconds=1)
-        assert limits.take(START, now=later)
+        assert limits.acquire(START, now=later)
         assert limits.rows(now=later) == []
 
     @pytest.mark.parametrize("text", ["", "-1", "nan", "inf", "1e999", "many", "1,5"])
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -29,10 +29,10 @@
 from passtally.rollouts import MAX_ORDER_WAIT, ORDER_WAIT, Rollouts
 from passtally.service_index import ServiceIndex
 from standins.rollout_fleet import (
-    RolloutPlay,
     RolloutResult,
+    RolloutScenario,
     VersionBehaviour,
-    play_rollout,
+    simulate_rollout,
 )
 
 ORDER = RolloutOrder(id="o", service="s", version="v2", within=timedelta(seconds=12))
@@ -55,7 +55,7 @@
 
 
 def play(seed: int = 1, **fields) -> RolloutResult:
-    return play_rollout(RolloutPlay(seed=seed, **fields))
+    return simulate_rollout(RolloutScenario(seed=seed, **fields))
 
 
 def check_bad(result: RolloutResult) -> None:
@@ -184,10 +184,10 @@
     @pytest.mark.parametrize(
         "trouble",
         [
-            {"kills": 4},
-            {"cut_hosts": 0.34},
+            {"host_crashes": 4},
+            {"partitioned_hosts": 0.34},
             {"store_down": 3.0},
-            {"usual_failing": 0.15},
+            {"baseline_failing": 0.15},
         ],
     )
     def test_other_faults_change_nothing(self, trouble):
@@ -215,7 +215,7 @@
         assert result.ended_at < 12
 
     def test_a_single_faulty_endpoint_does_not_stop_the_roll_out(self):
-        result = play(seed=3, grey=1)
+        result = play(seed=3, faulty_endpoints=1)
         assert result.state is RecordedState.COMPLETED
 
     def test_before_the_move_it_is_limited_like_a_bad_one(self):
@@ -242,7 +242,7 @@
             life=1,
             share=0.1,
             slack=50,
-            least_hosts=8,
+            min_hosts=8,
             catalog=self.catalog,
             loans=BudgetLoans(peers=net, roster=net, rng=random.Random(1)),
             peers=net,
@@ -255,7 +255,7 @@
 
     def put(self, software: str, born: int) -> None:
         item = attrs.evolve(endpoint(software), incarnation=born)
-        self.rollouts.meet(item)
+        self.rollouts.record_endpoint(item)
         self.catalog.put_endpoint(item)
 
     def allows(self, software: str) -> bool:
@@ -268,7 +268,7 @@
 class FakeLinks:
     """Links, roster and store of a host that is alone."""
 
-    peak = 1
+    peak_hosts = 1
 
     def on(self, kind, answerer) -> None:
         pass
@@ -316,7 +316,7 @@
         versions = Versions()
         versions.put("v1", born=1)
         versions.put("v2", born=2)
-        versions.rollouts.take(recorded(RecordedState.ROLLED_BACK))
+        versions.rollouts.apply_record(recorded(RecordedState.ROLLED_BACK))
         versions.wait(ORDER.within + GRACE + timedelta(seconds=1))
         assert not versions.allows("v2")
         versions.catalog.drop_endpoint("v1")
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -82,28 +82,28 @@
 
 class TestRetries:
     def test_safe_calls_and_resumable_streams_are_retried(self):
-        assert make_route("r", "/").is_repeatable
-        assert not make_route("r", "/", kind=CallKind.UNSAFE).is_repeatable
-        assert not make_route("r", "/", kind=CallKind.STREAM).is_repeatable
+        assert make_route("r", "/").is_retryable
+        assert not make_route("r", "/", kind=CallKind.UNSAFE).is_retryable
+        assert not make_route("r", "/", kind=CallKind.STREAM).is_retryable
         stream = make_route("r", "/", kind=CallKind.STREAM, is_resumable=True)
-        assert stream.is_repeatable
+        assert stream.is_retryable
 
 
 class TestVersions:
     def test_the_first_set_of_another_store_is_applied_at_any_version(self):
         active_routes = ActiveRoutes()
-        active_routes.take(RouteSet(version=9, routes=()))
-        active_routes.renew()
+        active_routes.apply(RouteSet(version=9, routes=()))
+        active_routes.accept_any_version()
         assert active_routes.current.version == 9
-        assert active_routes.take(RouteSet(version=3, routes=()))
-        assert not active_routes.take(RouteSet(version=2, routes=()))
+        assert active_routes.apply(RouteSet(version=3, routes=()))
+        assert not active_routes.apply(RouteSet(version=2, routes=()))
 
     @given(st.lists(st.integers(1, 50), min_size=1))
     def test_the_active_version_never_decreases(self, versions):
         active_routes = ActiveRoutes()
         highest = 0
         for version in versions:
-            is_applied = active_routes.take(RouteSet(version=version, routes=()))
+            is_applied = active_routes.apply(RouteSet(version=version, routes=()))
             assert is_applied == (version > highest)
             highest = max(highest, version)
             assert active_routes.current.version == highest
--- a/tests/test_service_budgets.py
+++ b/tests/test_service_budgets.py
@@ -20,11 +20,11 @@
 
 
 def make_budgets(
-    *, share: float, extra: Callable[[], float], resume_part: float = 0.5
+    *, share: float, extra: Callable[[], float], resume_share: float = 0.5
 ) -> tuple[ServiceBudgets, ManualClock]:
     clock = ManualClock()
     budgets = ServiceBudgets(
-        share=share, extra=extra, window=WINDOW, clock=clock, resume_part=resume_part
+        share=share, extra=extra, window=WINDOW, clock=clock, resume_share=resume_share
     )
     return budgets, clock
 
@@ -56,7 +56,7 @@
         assert resumes == 5
 
     def test_requests_older_than_the_window_do_not_count(self):
-        budgets, clock = make_budgets(share=1, extra=lambda: 0, resume_part=0)
+        budgets, clock = make_budgets(share=1, extra=lambda: 0, resume_share=0)
         budgets.earn("w", service="s")
         clock.advance(WINDOW)
         assert not budgets.try_resume("w", service="s")
@@ -87,7 +87,7 @@
 
     def test_a_budget_shrinks_as_more_hosts_are_known(self):
         extra = 20.0
-        budgets, _ = make_budgets(share=0, extra=lambda: extra, resume_part=0)
+        budgets, _ = make_budgets(share=0, extra=lambda: extra, resume_share=0)
         assert budgets.try_spend("w", service="s")
         extra = 3.0
         assert sum(budgets.try_spend("w", service="s") for _ in range(10)) == 2
@@ -128,7 +128,7 @@
     """Return the budgets of a host, started now or at the start of other budgets."""
     budgets = ServiceBudgets(
         share=0.8,
-        extra=lambda: 150 / max(node.roster.peak, MIN_BUDGET_HOSTS),
+        extra=lambda: 150 / max(node.roster.peak_hosts, MIN_BUDGET_HOSTS),
         window=WINDOW,
         clock=node.fleet.clock,
         warm_up=BUDGET_WARM_UP,
--- a/tests/test_settings_changes.py
+++ b/tests/test_settings_changes.py
@@ -198,7 +198,7 @@
                 raise OSError("no descriptors")
 
             with monkeypatch.context() as patched:
-                patched.setattr(host.roster, "use_seeds", fail)
+                patched.setattr(host.roster, "set_seeds", fail)
                 host.reload(new)
             assert (host.settings.seeds, host.settings.retry_share) == ((), 0.3)
             host.reload(new)
@@ -537,7 +537,7 @@
                 host.reload(attrs.evolve(host.settings, resume_keys=keys))
                 await asyncio.sleep(1.5)
                 for asking, asked in ((first, "front-2"), (second, "front-1")):
-                    assert await asking.watch._is_there(asked)
+                    assert await asking.watch._is_responding(asked)
                     states = [row.state for row in asking.roster.others()]
                     assert states == [MemberState.ALIVE]
 
--- a/tests/test_silent_hosts.py
+++ b/tests/test_silent_hosts.py
@@ -10,11 +10,11 @@
 class TestSilentHosts:
     def test_a_host_that_did_not_answer_is_silent_for_the_avoid_time(self):
         silent = SilentHosts()
-        silent.note("a", NOW)
+        silent.record_silence("a", NOW)
         assert silent.is_silent("a", NOW + 0.9 * AVOID_TIME)
         assert not silent.is_silent("a", NOW + AVOID_TIME)
 
     def test_other_hosts_are_not_silent(self):
         silent = SilentHosts()
-        silent.note("a", NOW)
+        silent.record_silence("a", NOW)
         assert not silent.is_silent("b", NOW)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -27,7 +27,7 @@
 )
 from soak.link import FaultyLink, LinkFault
 from soak.network import CLAIM_PORT, HOST_PORTS, LoopbackNetwork
-from soak.starts import StartSaboteur
+from soak.starts import StartFaultInjector
 from soak.world import EVENTS, World
 from standins.runner import PROOF
 from tests.test_starts import ADDRESS_NAMES
@@ -108,7 +108,7 @@
         assert evidence.judge() == []
 
     def test_a_configuration_that_went_back_is_reported(self):
-        evidence = Evidence(versions_by_life={"host-0.1": [1, 4, 3]})
+        evidence = Evidence(versions_by_process_run={"host-0.1": [1, 4, 3]})
         assert "went back" in evidence.judge()[0]
 
     def test_a_request_to_a_draining_endpoint_is_reported(self):
@@ -157,7 +157,9 @@
 
 
 def exit_record(status: int, *told: SentSignal) -> ProcessExit:
-    return ProcessExit(host="host-0", life=2, status=status, told=told, last_line="why")
+    return ProcessExit(
+        host="host-0", process_run=2, status=status, told=told, last_line="why"
+    )
 
 
 class TestEnds:
@@ -238,9 +240,9 @@
             async with started_world(tmp_path) as world:
                 assert await world.wait_configured()
                 host = world.hosts_by_name["host-0"]
-                os.kill(host.life.popen.pid, signal.SIGKILL)
+                os.kill(host.process_run.popen.pid, signal.SIGKILL)
                 async with asyncio.timeout(20):
-                    while len(host.lives) < 2:
+                    while len(host.process_runs) < 2:
                         await asyncio.sleep(0.01)
                 assert await world.wait_configured()
             return world.evidence.judge()
@@ -303,7 +305,7 @@
         async def main() -> tuple[World, list[str]]:
             async with started_world(folder) as world:
                 assert await world.wait_configured()
-                faults = StartSaboteur(
+                faults = StartFaultInjector(
                     world=world,
                     evidence=world.evidence,
                     rng=rng or random.Random(1),
@@ -317,8 +319,10 @@
 
     def sent_signals(self, world: World) -> list[list[int]]:
         """Return the signals sent to each process, but for the final SIGKILL."""
-        lives = world.hosts_by_name["host-0"].lives
-        signals = [[told.number for told in life.told] for life in lives]
+        process_runs = world.hosts_by_name["host-0"].process_runs
+        signals = [
+            [told.number for told in process_run.told] for process_run in process_runs
+        ]
         assert signals[-1].pop() == signal.SIGKILL
         return signals
 
@@ -373,7 +377,7 @@
             async with started_world(tmp_path) as world:
                 assert await world.wait_configured()
                 monkeypatch.setattr("soak.starts.socket.create_server", refuse)
-                faults = StartSaboteur(
+                faults = StartFaultInjector(
                     world=world, evidence=world.evidence, rng=random.Random(1)
                 )
                 await faults.faults_by_name["address in use"].run(0.5)
@@ -388,7 +392,7 @@
         async def main() -> World:
             async with started_world(tmp_path) as world:
                 assert await world.wait_configured()
-                faults = StartSaboteur(
+                faults = StartFaultInjector(
                     world=world, evidence=world.evidence, rng=random.Random(1)
                 )
                 await faults.stop_in_quiet()
@@ -404,13 +408,13 @@
         async def main() -> SentSignal:
             async with started_world(tmp_path) as world:
                 host = world.hosts_by_name["host-0"]
-                host.life.kill()
-                host.life.popen.wait()
+                host.process_run.kill()
+                host.process_run.popen.wait()
                 with socket.create_server(host.front):
                     host.held.append("callers")
                     world.start_host(host)
-                    host.life.send(signal.SIGTERM)
-                    return host.life.told[-1]
+                    host.process_run.send(signal.SIGTERM)
+                    return host.process_run.told[-1]
 
         assert not asyncio.run(main()).had_started
 
@@ -464,13 +468,13 @@
 
 class TestAnswered:
     def judge(self, *faults: FaultRecord, **fields) -> list[str]:
-        life = attrs.evolve(
+        process_exit = attrs.evolve(
             exit_record(0, SentSignal(number=signal.SIGTERM)), began_at=0.0, lasted=30.0
         )
         refused = outcome(
             **({"kind": "call", "status": 0, "is_complete": False} | fields)
         )
-        return Evidence(tries=[refused], exits=[life], faults=[*faults]).judge()
+        return Evidence(tries=[refused], exits=[process_exit], faults=[*faults]).judge()
 
     def test_a_host_that_is_up_and_does_not_answer_is_reported(self):
         assert "host-0 up, call q1 unanswered" in self.judge()[0]
--- a/tests/test_starved_hosts.py
+++ b/tests/test_starved_hosts.py
@@ -23,7 +23,7 @@
 
 from tests.busy_machine import busy_machine
 from tests.host_process import (
-    Place,
+    HostFiles,
     Running,
     is_ready,
     messages,
@@ -43,7 +43,7 @@
 
 
 @contextlib.asynccontextmanager
-async def neighbour(place: Place, folder: Path) -> AsyncIterator[Running]:
+async def neighbour(place: HostFiles, folder: Path) -> AsyncIterator[Running]:
     """Start a second host on the same store, in another failure domain."""
     front, ready, control = free_ports(3)
     text = place.path.read_text().replace("=pilar\n", "=tigre\n")
@@ -57,7 +57,7 @@
         text = text.replace(before, after)
     path = folder / "neighbour.conf"
     path.write_text(f"{text}seeds=127.0.0.1:{place.control}\n")
-    own = Place(
+    own = HostFiles(
         path=path,
         log=folder / "neighbour.log",
         front=front,
--- a/tests/test_store_comeback.py
+++ b/tests/test_store_comeback.py
@@ -94,7 +94,7 @@
                 system.store.put("config", "main", config_with(version))
                 await wait_version(system, version)
             cut_off = system.hosts[-1]
-            cut_off.store.move("http://127.0.0.1:1")
+            cut_off.store.set_url("http://127.0.0.1:1")
             await restore_store(system, copy)
             system.store.put("config", "main", config_with(6, "/new/"))
             await wait_version(system, 6)
@@ -234,7 +234,7 @@
         async def test() -> None:
             store = PlatformStore(fetcher=EraAnswers([b"7", b"1"]), url="http://x")
             await store.list_objects("config/")
-            store.move("http://y")
+            store.set_url("http://y")
             assert era_of((await store.list_objects("config/")).version) == 1
 
         asyncio.run(test())
